--- a/Courseloom/src/Control/AdviceBook.cpp
+++ b/Courseloom/src/Control/AdviceBook.cpp
@@ -12,54 +12,58 @@
 
 namespace internal {
 namespace {
-/** Taken off a ticket's time, for orders on their way. */
+/** Subtracted from the validity of tickets, so that they are still valid when an order reaches its agent. */
 constexpr Duration AdviceMargin = milliseconds(300);
+/** Time limit of one request. */
 constexpr Duration AdviceLimit = milliseconds(5000);
-constexpr Duration AdvicePause = milliseconds(200);
+/** Pause after a failed request. */
+constexpr Duration AdviceRetryPause = milliseconds(200);
+/** Most targets in one request. */
 constexpr std::size_t MaxAdvisedTargets = 100;
 }  // namespace
 }  // namespace internal
 
 std::map<std::string, std::string> AdviceBook::ticketsFor(const StepName& name, const schema::AdvicePolicy& policy,
                                                           const std::vector<std::string>& targets) {
-  Permission& permission = m_permissions[name];
-  if (BootClock::now() >= permission.until) {
-    permission.tickets.clear();
-    permission.asked.clear();
+  StepTickets& held = m_stepTickets[name];
+  if (BootClock::now() >= held.until) {
+    held.tickets.clear();
+    held.requested.clear();
   }
-  std::vector<std::string> unasked;
+  std::vector<std::string> newTargets;
   for (const std::string& target : targets) {
-    if (permission.asked.count(target) == 0 && unasked.size() < internal::MaxAdvisedTargets) unasked.push_back(target);
+    if (held.requested.count(target) == 0 && newTargets.size() < internal::MaxAdvisedTargets)
+      newTargets.push_back(target);
   }
-  if (!unasked.empty() && permission.asking == 0) {
-    permission.asking = ++m_questions;
-    boost::asio::co_spawn(m_strand,
-                          ask(name, std::move(unasked), milliseconds(policy.validity_ms()), permission.asking),
-                          boost::asio::detached);
+  if (!newTargets.empty() && held.requestId == 0) {
+    held.requestId = ++m_lastRequestId;
+    boost::asio::co_spawn(
+        m_strand, requestTickets(name, std::move(newTargets), milliseconds(policy.validity_ms()), held.requestId),
+        boost::asio::detached);
   }
-  return permission.tickets;
+  return held.tickets;
 }
 
-Awaitable<void> AdviceBook::ask(StepName name, std::vector<std::string> targets, Duration validity,
-                                std::uint64_t question) {
-  const Time askedAt = BootClock::now();
+Awaitable<void> AdviceBook::requestTickets(StepName name, std::vector<std::string> targets, Duration validity,
+                                           std::uint64_t requestId) {
+  const Time requestedAt = BootClock::now();
   const schema::TaskId step = makeTaskId(name.first, {name.second.occurrence, name.second.step, 0});
   Result<std::vector<Ticket>> tickets = co_await m_port->advise(step, targets, internal::AdviceLimit);
   if (!tickets) {
     logFailure(schema::AdviceFailed, takeFailure(tickets));
-    co_await sleepFor(internal::AdvicePause);
+    co_await sleepFor(internal::AdviceRetryPause);
   }
-  const auto found = m_permissions.find(name);
-  // Forgotten, and perhaps asked anew: its time does not count from this question.
-  if (found == m_permissions.end() || found->second.asking != question) co_return;
-  Permission& permission = found->second;
-  permission.asking = 0;
+  const auto found = m_stepTickets.find(name);
+  // The step was discarded meanwhile, and perhaps requested again: its tickets do not expire by this request's time.
+  if (found == m_stepTickets.end() || found->second.requestId != requestId) co_return;
+  StepTickets& held = found->second;
+  held.requestId = 0;
   if (tickets) {
-    if (permission.asked.empty()) permission.until = askedAt + validity - internal::AdviceMargin;
-    permission.asked.insert(targets.begin(), targets.end());
-    for (Ticket& ticket : *tickets) permission.tickets[ticket.target] = std::move(ticket.text);
+    if (held.requested.empty()) held.until = requestedAt + validity - internal::AdviceMargin;
+    held.requested.insert(targets.begin(), targets.end());
+    for (Ticket& ticket : *tickets) held.tickets[ticket.target] = std::move(ticket.text);
   }
-  m_arrived();
+  m_onAnswer();
 }
 
 }  // namespace courseloom
--- a/Courseloom/src/Control/AdviceBook.h
+++ b/Courseloom/src/Control/AdviceBook.h
@@ -16,60 +16,67 @@
 namespace courseloom {
 
 /** \class Ticket
- * \brief Permission to run a step on one life of a target.
+ * \brief Permission to run a step on one incarnation of a target.
  */
 struct Ticket {
-  std::string target;
-  std::string text;
+  std::string target;  ///< identity of the target's incarnation
+  std::string text;    ///< opaque ticket, passed on with the start
 };
 
 /** \class AdvicePort
- * \brief The service that alone knows which targets may run a step of a queue under a policy.
+ * \brief Interface of the advice service, which decides which targets may run a step of a queue with an advice policy.
  */
 class AdvicePort {
  public:
   virtual ~AdvicePort() = default;
-  /** Asks for the targets that may run a step. \param step any task of it \param limit time for all of it */
+  /** Requests tickets for a step. \param step any task of the step \param targets identities of the candidate targets
+   * \param limit time limit of the whole call \returns a ticket for each target that may run the step */
   virtual Awaitable<Result<std::vector<Ticket>>> advise(schema::TaskId step, std::vector<std::string> targets,
                                                         Duration limit) = 0;
 };
 
 /** \class AdviceBook
- * \brief The tickets that the leader holds for steps, and the questions under way; each target is asked for once.
+ * \brief The leader's tickets for steps, and the pending requests for them. Until a step's tickets expire, each target
+ * is requested once.
  */
 class AdviceBook {
  public:
   using StepName = std::pair<std::string, StepKey>;  ///< workflow and step
 
-  /** \param port may be null: then no step needs a ticket \param arrived called when an answer has come */
-  AdviceBook(ControlStrand strand, std::unique_ptr<AdvicePort> port, std::function<void()> arrived)
-      : m_strand(std::move(strand)), m_port(std::move(port)), m_arrived(std::move(arrived)) {}
+  /** \param port advice service; if null, no step needs a ticket \param onAnswer called on the strand after each answer
+   * or failure of the advice service */
+  AdviceBook(ControlStrand strand, std::unique_ptr<AdvicePort> port, std::function<void()> onAnswer)
+      : m_strand(std::move(strand)), m_port(std::move(port)), m_onAnswer(std::move(onAnswer)) {}
 
-  void clear() { m_permissions.clear(); }
-  /** Forgets the tickets of a workflow that has ended. */
+  /** Discards all tickets and ignores the answers to pending requests. */
+  void clear() { m_stepTickets.clear(); }
+  /** Discards the tickets of a workflow that has ended. */
   void forget(const std::string& workflow) {
-    std::erase_if(m_permissions, [&workflow](const auto& entry) { return entry.first.first == workflow; });
+    std::erase_if(m_stepTickets, [&workflow](const auto& entry) { return entry.first.first == workflow; });
   }
+  /** \returns whether steps of a queue need a ticket for their starts. \param queue may be null: then none is needed */
   bool needed(const schema::Queue* queue) const { return m_port && queue != nullptr && queue->has_advice(); }
-  /** \param targets lives of targets that could run the step; those not asked for yet are asked for now
-   * \returns the tickets that are held and still good, by target */
+  /** Returns the valid tickets of a step, and requests tickets for targets that were not requested yet, unless a
+   * request for the step is pending. \param targets identities of targets that could run the step \returns tickets by
+   * target */
   std::map<std::string, std::string> ticketsFor(const StepName& name, const schema::AdvicePolicy& policy,
                                                 const std::vector<std::string>& targets);
 
  private:
-  struct Permission {
+  struct StepTickets {
     std::map<std::string, std::string> tickets;
-    Time until{};
-    std::set<std::string> asked;  ///< targets that were named
-    std::uint64_t asking = 0;     ///< the question under way, or 0
+    Time until{};                     ///< when the tickets expire; zero before the first answer
+    std::set<std::string> requested;  ///< targets of answered requests
+    std::uint64_t requestId = 0;      ///< the pending request, or 0
   };
-  Awaitable<void> ask(StepName name, std::vector<std::string> targets, Duration validity, std::uint64_t question);
+  Awaitable<void> requestTickets(StepName name, std::vector<std::string> targets, Duration validity,
+                                 std::uint64_t requestId);
 
   ControlStrand m_strand;
   std::unique_ptr<AdvicePort> m_port;
-  std::function<void()> m_arrived;
-  std::map<StepName, Permission> m_permissions;
-  std::uint64_t m_questions = 0;
+  std::function<void()> m_onAnswer;
+  std::map<StepName, StepTickets> m_stepTickets;
+  std::uint64_t m_lastRequestId = 0;
 };
 
 }  // namespace courseloom
--- a/Courseloom/src/Control/ConfigurationGateway.h
+++ b/Courseloom/src/Control/ConfigurationGateway.h
@@ -9,19 +9,20 @@
 namespace courseloom {
 
 /** \class ConfigurationGateway
- * \brief What an operator's protocol may ask of a control replica.
+ * \brief Operations of a control replica that an operator's protocol may use.
  */
 class ConfigurationGateway {
  public:
   virtual ~ConfigurationGateway() = default;
-  /** Takes a whole, checked configuration. \returns NoLeader where this replica cannot */
+  /** Commits a complete configuration that was checked before. \returns NoLeader where this replica cannot do so */
   virtual Awaitable<Result<void>> put(schema::QueueConfiguration configuration) = 0;
-  /** \returns the newest configuration as it was sent; NoLeader where this replica cannot be sure */
+  /** \returns the source text of the newest configuration; NoLeader where this replica cannot tell that it is the
+   * newest one */
   virtual Awaitable<Result<std::string>> read() = 0;
-  /** Drains a data hall or gives it back, durably; the same again changes nothing. \returns NoLeader where this replica
-   * cannot, BadRequest for what cannot name a data hall */
+  /** Drains a data hall or ends its drain, durably. A repeated call changes nothing. \param drained whether to drain it
+   * \returns NoLeader where this replica cannot do so, BadRequest for an invalid name of a data hall */
   virtual Awaitable<Result<void>> drainHall(std::string hall, bool drained) = 0;
-  /** \returns IP number of the leader, or an empty string if it is not known or is this replica. */
+  /** \returns the leader's IP address, or an empty string if the leader is unknown or is this replica. */
   virtual std::string leaderAddress() = 0;
 };
 
--- a/Courseloom/src/Control/ControlService.cpp
+++ b/Courseloom/src/Control/ControlService.cpp
@@ -20,8 +20,8 @@
 namespace {
 
 constexpr Duration HousekeepingInterval = milliseconds(100);
-constexpr Duration ConfigurePause = milliseconds(2);
-/** With the platform out of reach for longer, a job is accepted unchecked and waits. */
+constexpr Duration PollPause = milliseconds(2);
+/** Longest wait for the platform's inventory. If it takes longer, a job is accepted unchecked and stays queued. */
 constexpr Duration InventoryLimit = milliseconds(400);
 constexpr Duration StopLimit = milliseconds(3000);
 
@@ -123,7 +123,7 @@
 
 void ControlService::registerHandlers() {
   registerWorkflowHandlers();
-  // Handlers arrive on any thread; all that they touch lives on the strand.
+  // Handlers are called on any thread; the state that they use may only be accessed on the strand.
   m_rpc.handle<schema::ReplicaMessage>("replicate", [this](schema::ReplicaMessage message, std::string) {
     return asio::co_spawn(m_strand, replicate(std::move(message)), asio::use_awaitable);
   });
@@ -139,19 +139,19 @@
 }
 
 Awaitable<void> ControlService::housekeeping() {
-  std::uint64_t announced = 0;
+  std::uint64_t notifiedVersion = 0;
   while (true) {
     m_nodes.expire(BootClock::now());
     m_leader.store(m_driver.replica().leader());
     m_nodes.setLeavingInstances(m_jobs.leavingInstances());
     m_nodes.setDrainedHalls(m_driver.state().hallDrains().halls());
-    if (m_nodes.version() != announced) m_changed.notify();
-    announced = m_nodes.version();
+    if (m_nodes.version() != notifiedVersion) m_changed.notify();
+    notifiedVersion = m_nodes.version();
     co_await sleepFor(internal::HousekeepingInterval);
   }
 }
 
-// ---- the replicas' own messages
+// ---- replication messages
 
 Awaitable<Result<schema::Empty>> ControlService::replicate(schema::ReplicaMessage message) {
   if (m_driver.receive(message)) co_return schema::Empty();
@@ -230,12 +230,12 @@
   const Time deadline = BootClock::now() + 2 * milliseconds(m_context.settings.cluster().election_timeout_ms());
   if (!leads()) co_return fail(m_driver.noLeader("command"));
   schema::Command& command = *request.mutable_command();
-  if (command.has_action()) nameHalls(*command.mutable_action());
-  // A resent command gets its first answer, whatever has changed since.
+  if (command.has_action()) resolveHalls(*command.mutable_action());
+  // A retried command gets its first answer, whatever has changed since.
   if (m_driver.state().knowsCommand(command.command_id()))
     co_return co_await m_driver.submit(std::move(command), deadline);
-  const bool hasShape = command.has_submit() || command.has_action();
-  if (hasShape) co_await waitForInventory(BootClock::now() + internal::InventoryLimit);
+  const bool needsInventory = command.has_submit() || command.has_action();
+  if (needsInventory) co_await waitForInventory(BootClock::now() + internal::InventoryLimit);
   Result<void> checked = checkCommand(command);
   if (!checked) co_return fail(takeFailure(checked));
   if (command.has_action() && command.action().dry_run()) co_return m_driver.state().preview(command);
@@ -243,8 +243,9 @@
   co_return co_await m_driver.submit(std::move(command), deadline);
 }
 
-/** A data hall is found by its labels `kind=hall`, `hall` and `name`, like anything that an operator acts on. */
-void ControlService::nameHalls(schema::Action& action) const {
+/** Adds the data halls that an action's selector matches to the action. A data hall has the labels `kind=hall`, `hall`
+ * and `name`, like any other object of an operator's action. */
+void ControlService::resolveHalls(schema::Action& action) const {
   action.clear_halls();
   Result<Selector> selector = Selector::parse(action.selector());
   const bool concernsHalls = action.kind() == schema::Drain || action.kind() == schema::Resume;
@@ -257,15 +258,16 @@
   }
 }
 
-/** A new leader reads the inventory within one poll; what names a shape can wait that long, to be checked against it.
- */
+/** Waits until the platform's inventory is known. A new leader reads it within one poll, and commands with a shape wait
+ * for it so that the shape can be checked. */
 Awaitable<void> ControlService::waitForInventory(Time deadline) const {
-  while (!m_jobs.knowsWorkers() && leads() && BootClock::now() < deadline) co_await sleepFor(internal::ConfigurePause);
+  while (!m_jobs.knowsWorkers() && leads() && BootClock::now() < deadline) co_await sleepFor(internal::PollPause);
 }
 
-/** One change of configuration at a time, so that each is checked against all that were accepted before. */
+/** Checks and commits a change of configuration. Changes are handled one at a time, so that each is checked against all
+ * that were accepted before. */
 Awaitable<Result<schema::CommandReply>> ControlService::configure(schema::Command command, Time deadline) {
-  while (m_configuring && BootClock::now() < deadline) co_await sleepFor(internal::ConfigurePause);
+  while (m_configuring && BootClock::now() < deadline) co_await sleepFor(internal::PollPause);
   if (m_configuring) co_return fail(Failure{FailureCode::Overloaded, Ran::No, "apply", "", "other changes wait", 500});
   m_configuring = true;
   Result<void> checked = checkGuarantees(command);
@@ -386,17 +388,18 @@
   }
 }
 
-// ---- nodes that follow
+// ---- nodes that watch the configuration
 
-/** A new leader knows no targets until their agents have spoken; until then nodes keep the list they have. */
+/** \returns whether this replica has led long enough for all targets to report. A new leader knows no targets until
+ * they do; until then nodes keep their current list. */
 bool ControlService::targetsSettled() const {
   return BootClock::now() >= m_leadsSince + milliseconds(m_context.settings.cluster().freshness_lease_ms());
 }
 
-/** Whether a node's list of targets should be replaced by this leader's. */
+/** \returns whether a node's list of targets should be replaced by this leader's list. */
 bool ControlService::hasNewTargets(const schema::WatchRequest& request) const {
-  const bool ownList = request.term() == m_driver.replica().term();
-  if (ownList) return request.view() != m_nodes.version();
+  const bool sameTerm = request.term() == m_driver.replica().term();
+  if (sameTerm) return request.view() != m_nodes.version();
   return request.term() == 0 || targetsSettled();
 }
 
@@ -446,7 +449,7 @@
   co_return makeWatchReply(request);
 }
 
-// ---- health and the end
+// ---- health and shutdown
 
 HttpResponse ControlService::answerHttp(const HttpRequest& request) const {
   if (std::optional<HttpResponse> admin = answerAdmin(request, m_ready, m_context.metrics)) return std::move(*admin);
--- a/Courseloom/src/Control/ControlService.h
+++ b/Courseloom/src/Control/ControlService.h
@@ -14,18 +14,22 @@
 namespace courseloom {
 
 /** \class ControlEdges
- * \brief The deployment's protocol, as far as a control replica speaks it; empty where none is spoken.
+ * \brief Parts of the deployment's protocol that a control replica serves; empty functions where it serves none.
  */
 struct ControlEdges {
+  /** Makes the client of the advice service. */
   std::function<std::unique_ptr<AdvicePort>(const DaemonContext&)> makeAdvice;
+  /** Answers an operator's HTTP request. \param port port on which the operators' endpoint listens */
   std::function<Awaitable<HttpResponse>(HttpRequest, ConfigurationGateway&, unsigned port)> answerOperator;
 };
 
 /** \class ControlService
- * \brief The control daemon: serves commands, queries and heartbeats on the leader, and the replicas' own messages.
+ * \brief The control daemon. It serves commands, queries and the nodes' watch calls (their heartbeats) on the leader,
+ * and replication messages on every replica.
  */
 class ControlService : public Service, private ConfigurationGateway {
  public:
+  /** \param edges handlers of the deployment's protocol */
   explicit ControlService(const DaemonContext& context, ControlEdges edges = {});
   Result<Listening> start() override;
   Awaitable<std::size_t> stop() override;
@@ -41,7 +45,7 @@
   void registerWorkflowHandlers();
   Awaitable<Result<schema::Empty>> replicate(schema::ReplicaMessage message);
   Awaitable<Result<schema::CommandReply>> command(schema::CommandRequest request);
-  void nameHalls(schema::Action& action) const;
+  void resolveHalls(schema::Action& action) const;
   Awaitable<void> waitForInventory(Time deadline) const;
   Awaitable<Result<schema::CommandReply>> configure(schema::Command command, Time deadline);
   Awaitable<Result<schema::QueryReply>> query(schema::QueryRequest request);
@@ -72,10 +76,10 @@
   RpcServer m_rpc;
   HttpServer m_http;
   HttpServer m_operators;
-  unsigned m_edgePort = 0;
-  Time m_leadsSince{};
-  bool m_configuring = false;
-  std::atomic<ReplicaId> m_leader{0};  ///< as the replica last knew it, for threads off the strand
+  unsigned m_edgePort = 0;             ///< port of the operators' endpoint; 0 if it is not served
+  Time m_leadsSince{};                 ///< last change of this replica's role
+  bool m_configuring = false;          ///< a change of configuration is being checked or committed
+  std::atomic<ReplicaId> m_leader{0};  ///< copy of the replica's leader for threads outside the strand; 0 if unknown
   std::atomic<bool> m_ready{false};
   std::atomic<bool> m_stopping{false};
 };
--- a/Courseloom/src/Control/JobRunner.cpp
+++ b/Courseloom/src/Control/JobRunner.cpp
@@ -18,9 +18,10 @@
 
 constexpr Duration ReserveLimit = milliseconds(2000);
 constexpr Duration StartLimit = milliseconds(5000);
-constexpr Duration OrderPause = milliseconds(50);
-/** Before a stop that was refused or not answered is sent again: the platform may be overloaded. */
-constexpr Duration StopPause = milliseconds(200);
+/** Pause before an unanswered order is retried. */
+constexpr Duration OrderRetryPause = milliseconds(50);
+/** Pause before a refused or unanswered stop is retried: the platform may be overloaded. */
+constexpr Duration StopRetryPause = milliseconds(200);
 constexpr Duration CommitLimit = milliseconds(5000);
 
 SchedulerOptions scheduler_options(const schema::ControlSettings& control) {
@@ -51,7 +52,7 @@
       m_scheduler(internal::scheduler_options(context.settings.control())) {}
 
 void JobRunner::start() {
-  // Without the platform's interface there are no workers, and gangs wait.
+  // Without the platform's interface no workers are known, and gangs stay queued.
   if (!m_context.settings.has_platform()) return;
   asio::co_spawn(m_strand, scheduleLoop(), asio::detached);
   asio::co_spawn(m_strand, pollLoop(), asio::detached);
@@ -61,11 +62,11 @@
   m_leads = leads;
   m_reloadWanted = true;
   m_knowsWorkers = false;
-  m_renewed.clear();
+  m_renewedAt.clear();
   m_leases.clear();
 }
 
-// ---- what the scheduler is told
+// ---- the scheduler's inputs
 
 void JobRunner::reloadObjects() {
   const ObjectTable& objects = m_driver.state().objects();
@@ -98,13 +99,13 @@
   reloadObjects();
   reloadJobs();
   if (!m_leads) return;
-  actOnOpenSteps();
+  resumeOpenGangs();
   decide();
 }
 
-/** Goes on with each gang whose step is not done, also one that was left when this leader could not read for a moment.
- */
-void JobRunner::actOnOpenSteps() {
+/** Continues each gang that is reserving, starting or stopping. This includes gangs whose phase was abandoned while the
+ * leader could not read. */
+void JobRunner::resumeOpenGangs() {
   if (!leads()) return;
   for (const auto& [id, job] : m_driver.state().jobs()) {
     const bool stepOpen =
@@ -113,7 +114,7 @@
   }
 }
 
-void JobRunner::takeWorkers(const schema::PlatformReport& report) {
+void JobRunner::applyInventory(const schema::PlatformReport& report) {
   std::set<std::string> names;
   for (const schema::Worker& worker : report.workers()) names.insert(worker.name());
   for (const std::string& name : m_workers) {
@@ -129,19 +130,19 @@
 }
 
 void JobRunner::takeReport(const schema::PlatformReport& report) {
-  takeWorkers(report);
-  std::set<std::uint64_t> ours;
+  applyInventory(report);
+  std::set<std::uint64_t> ownLeases;
   for (const auto& [id, job] : m_driver.state().jobs()) {
     if (isEnded(job.phase())) continue;
-    for (const schema::Lease& lease : job.leases()) ours.insert(lease.number());
+    for (const schema::Lease& lease : job.leases()) ownLeases.insert(lease.number());
   }
   std::map<std::string, Capacity> foreign;
   m_leases.clear();
   for (const schema::LeaseReport& lease : report.leases()) {
     m_leases[lease.number()] = lease;
     const bool live = lease.phase() == schema::TaskRunning || lease.phase() == schema::TaskReserved;
-    if (!live || ours.count(lease.number()) > 0) continue;
-    // Newer than what this leader has applied, or nobody's: either way not free.
+    if (!live || ownLeases.count(lease.number()) > 0) continue;
+    // The lease is newer than this leader's applied state, or belongs to no job; its resources are not free either way.
     Capacity& used = foreign[lease.worker()];
     for (const std::uint32_t accelerator : lease.accelerators()) used.accelerators |= 1ULL << accelerator;
     used.cores += lease.used_cores();
@@ -168,20 +169,20 @@
         takeReport(*report);
         reviewRunning();
         decide();
-        watchGuarantees();
+        logGuaranteeChanges();
       }
     }
     co_await sleepFor(interval);
   }
 }
 
-void JobRunner::watchGuarantees() {
+void JobRunner::logGuaranteeChanges() {
   for (const schema::GuaranteeStatus& status : m_scheduler.guaranteeStatus()) {
-    const bool was = m_atRisk.count(status.name()) > 0;
-    if (!status.witnessed() && !was) {
+    const bool wasAtRisk = m_atRisk.count(status.name()) > 0;
+    if (!status.witnessed() && !wasAtRisk) {
       m_atRisk.insert(status.name());
       logEvent(schema::GuaranteeAtRisk, {{"guarantee", status.name()}, {"reason", status.reason()}});
-    } else if (status.witnessed() && was) {
+    } else if (status.witnessed() && wasAtRisk) {
       m_atRisk.erase(status.name());
       logEvent(schema::GuaranteeWitnessed, {{"guarantee", status.name()}});
     }
@@ -195,7 +196,7 @@
 Awaitable<void> JobRunner::scheduleLoop() {
   const Duration interval = milliseconds(m_context.settings.control().schedule_ms());
   while (true) {
-    actOnOpenSteps();
+    resumeOpenGangs();
     decide();
     co_await sleepFor(interval);
   }
@@ -265,8 +266,8 @@
       co_await m_driver.submit(std::move(command), BootClock::now() + internal::CommitLimit);
   m_committing.erase(id);
   if (reply && !reply->has_failure()) recordTimes(copy);
-  // Refused or lost: the scheduler's picture is renewed from the state.
-  if (const schema::Job* job2 = m_driver.state().job(id)) m_scheduler.updateJob(*job2);
+  // The change may have been refused or lost, so the scheduler's copy of the job is updated from the state.
+  if (const schema::Job* current = m_driver.state().job(id)) m_scheduler.updateJob(*current);
 }
 
 void JobRunner::recordTimes(const schema::Job& job) {
@@ -286,16 +287,16 @@
 
 // ---- gangs
 
-/** Looks at each running gang: ended, broken, to be stopped, or to be renewed. */
+/** Checks each running gang: stops it if it has finished, is broken or was cancelled; renews its leases otherwise. */
 void JobRunner::reviewRunning() {
   for (const auto& [id, job] : m_driver.state().jobs()) {
-    if (job.phase() != schema::JobRunning || m_committing.count(id) > 0 || m_acting.count(id) > 0) continue;
+    if (job.phase() != schema::JobRunning || m_committing.count(id) > 0 || m_activePhases.count(id) > 0) continue;
     reviewJob(job);
   }
 }
 
 void JobRunner::reviewJob(const schema::Job& job) {
-  // A report that was asked for before the gang ran says nothing of it.
+  // A report that was requested before the gang ran contains nothing about it.
   const auto since = m_runningSince.find(job.id());
   if (since == m_runningSince.end()) {
     m_runningSince[job.id()] = BootClock::now();
@@ -306,9 +307,9 @@
   unsigned broken = 0;
   for (const schema::Lease& lease : job.leases()) {
     const auto report = m_leases.find(lease.number());
-    const bool gone = report == m_leases.end() || m_workers.count(lease.worker()) == 0;
-    if (!gone && report->second.phase() == schema::TaskFinished) ++finished;
-    if (gone || (report->second.phase() != schema::TaskFinished && report->second.phase() != schema::TaskRunning))
+    const bool lost = report == m_leases.end() || m_workers.count(lease.worker()) == 0;
+    if (!lost && report->second.phase() == schema::TaskFinished) ++finished;
+    if (lost || (report->second.phase() != schema::TaskFinished && report->second.phase() != schema::TaskRunning))
       ++broken;
   }
   schema::Job next = job;
@@ -323,8 +324,8 @@
   } else {
     const Duration renewal = milliseconds(m_context.settings.control().lease_ms()) / 3;
     const Time now = BootClock::now();
-    if (now < m_renewed[job.id()] + renewal) return;
-    m_renewed[job.id()] = now;
+    if (now < m_renewedAt[job.id()] + renewal) return;
+    m_renewedAt[job.id()] = now;
     asio::co_spawn(m_strand, renewAll(job), asio::detached);
     return;
   }
@@ -332,7 +333,7 @@
 }
 
 void JobRunner::act(const std::string& jobId) {
-  if (!leads() || !m_acting.insert(jobId).second) return;
+  if (!leads() || !m_activePhases.insert(jobId).second) return;
   asio::co_spawn(m_strand, runPhase(jobId), asio::detached);
 }
 
@@ -351,7 +352,7 @@
       break;
     }
   }
-  m_acting.erase(jobId);
+  m_activePhases.erase(jobId);
 }
 
 schema::LeaseOrder JobRunner::makeOrder(const schema::Job& job, const schema::Lease& lease,
@@ -372,12 +373,13 @@
   return order;
 }
 
-/** Repeats an order whose answer was lost, under the same number, until it is answered or the deadline comes. */
+/** Sends an order, and retries it under the same number until it is answered, the deadline has passed or this replica
+ * ceases to lead. */
 Awaitable<Result<schema::OrderReply>> JobRunner::orderUntil(schema::LeaseOrder order, Time deadline) {
   while (true) {
     Result<schema::OrderReply> reply = co_await m_platform.order(order);
     if (reply || BootClock::now() >= deadline || !leads()) co_return reply;
-    co_await sleepFor(internal::OrderPause);
+    co_await sleepFor(internal::OrderRetryPause);
   }
 }
 
@@ -415,9 +417,9 @@
   Phases phases;
   const GangResult reserved = co_await orderAll(job, schema::Reserve, internal::ReserveLimit, phases);
   if (!leads()) co_return;
-  const bool go = reserved == GangResult::All && !job.cancel_wanted();
+  const bool mayStart = reserved == GangResult::All && !job.cancel_wanted();
   schema::Job next = job;
-  if (go) {
+  if (mayStart) {
     next.set_phase(schema::JobStarting);
     next.set_starts(job.starts() + 1);
   } else {
@@ -440,7 +442,7 @@
     next.set_phase(schema::JobRunning);
     next.set_started_ms(wallClockMs());
     m_runningSince[job.id()] = BootClock::now();
-    m_renewed[job.id()] = BootClock::now();
+    m_renewedAt[job.id()] = BootClock::now();
   } else {
     logEvent(schema::GangStopped, {{"job", job.id()}, {"step", "start"}});
     next.set_phase(schema::JobStopping);
@@ -463,8 +465,8 @@
   co_return saved == GangResult::All;
 }
 
-/** Stops every member and frees its lease; goes on until each stop is accepted, since a part must not go on running,
- * and a refusal says neither that it ended nor that it never began. */
+/** Stops every member and releases its lease. Stops are retried until each one is accepted, since no member may
+ * continue to run, and a refused stop shows neither that the member has ended nor that it never started. */
 Awaitable<void> JobRunner::stopAndRelease(const schema::Job& job, Phases& phases) {
   const Duration limit = milliseconds(m_context.settings.control().lease_ms());
   while (leads()) {
@@ -472,7 +474,7 @@
     if (stopped == GangResult::All) break;
     const char* const detail = stopped == GangResult::Refused ? "refused" : "no answer";
     logEvent(schema::PlatformFailed, {{"job", job.id()}, {"step", "stop"}, {"detail", detail}});
-    co_await sleepFor(internal::StopPause);
+    co_await sleepFor(internal::StopRetryPause);
   }
   Phases released;
   if (leads()) co_await orderAll(job, schema::Release, limit, released);
@@ -494,7 +496,7 @@
   next.clear_leases();
   next.clear_guarantee();
   m_runningSince.erase(job.id());
-  m_renewed.erase(job.id());
+  m_renewedAt.erase(job.id());
   if (internal::all_are(phases, schema::TaskFinished)) {
     next.set_phase(schema::JobFinished);
     next.set_result("finished");
--- a/Courseloom/src/Control/JobRunner.h
+++ b/Courseloom/src/Control/JobRunner.h
@@ -14,26 +14,29 @@
 namespace courseloom {
 
 /** \class JobRunner
- * \brief Carries the scheduler's decisions out over the platform's leases, as long as this replica leads.
+ * \brief Carries out the scheduler's decisions through leases of the platform, while this replica leads.
  *
- * Each step of a gang is first committed in the log and then ordered from the platform, under the lease's number and
- * the leader's term, so that a later leader can go on from the committed step: reserve all leases, then start all; any
- * member lost, late or refused stops the whole. Runs on the control strand.
+ * A gang first reserves all its leases and then starts them all. If any member is lost, late or refused, the whole gang
+ * is stopped. Each step is committed to the log before it is ordered from the platform. Orders carry the lease's number
+ * and the leader's term, so that a later leader can continue from the committed step. Runs on the control strand.
  */
 class JobRunner {
  public:
   JobRunner(const DaemonContext& context, ControlStrand strand, ReplicaDriver& driver);
 
-  /** Begins or ends to act as leader. */
+  /** Starts or stops acting as leader. \param leads whether this replica leads from now on */
   void lead(bool leads);
-  /** Takes changes of the state in: jobs, guarantees, pauses. */
+  /** Passes applied changes of jobs, guarantees and pauses on to the scheduler. If this replica leads, also continues
+   * open gangs and decides on queued jobs. */
   void onApplied();
+  /** Starts the scheduling and polling loops; without settings of the platform it does nothing. Called once. */
   void start();
 
+  /** \returns the scheduler, for queries of its state. */
   const Scheduler& scheduler() const { return m_scheduler; }
-  /** \returns instances that the platform calls leaving, from its lagging list. */
+  /** \returns the instances that the platform's last report lists as leaving; the report lags behind their state. */
   const std::set<std::string>& leavingInstances() const { return m_leaving; }
-  /** \returns whether the platform's inventory has been read since this replica leads. */
+  /** \returns whether the platform's inventory was read since this replica last began or ceased to lead. */
   bool knowsWorkers() const { return m_knowsWorkers; }
 
  private:
@@ -43,14 +46,14 @@
   Awaitable<void> scheduleLoop();
   Awaitable<void> pollLoop();
   void decide();
-  void actOnOpenSteps();
+  void resumeOpenGangs();
   void takeReport(const schema::PlatformReport& report);
-  void takeWorkers(const schema::PlatformReport& report);
+  void applyInventory(const schema::PlatformReport& report);
   void reviewRunning();
   void reviewJob(const schema::Job& job);
   void reloadJobs();
   void reloadObjects();
-  void watchGuarantees();
+  void logGuaranteeChanges();
 
   void commit(schema::Job job, schema::JobPhase from);
   Awaitable<void> commitLater(schema::Job job, schema::JobPhase from);
@@ -81,15 +84,15 @@
   bool m_reloadWanted = true;
   std::uint64_t m_objectsRevision = 0;
   std::uint64_t m_nextLease = 1;
-  std::set<std::string> m_acting;      ///< jobs with a phase under way here
-  std::set<std::string> m_committing;  ///< jobs with a change on its way through the log
-  std::map<std::string, Time> m_renewed;
-  std::map<std::uint64_t, schema::LeaseReport> m_leases;
-  std::set<std::string> m_leaving;
-  std::set<std::string> m_atRisk;
-  std::set<std::string> m_workers;
-  Time m_reportSentAt{};
-  std::map<std::string, Time> m_runningSince;
+  std::set<std::string> m_activePhases;                   ///< jobs whose gang phase runs on this replica
+  std::set<std::string> m_committing;                     ///< jobs with a change that is not committed yet
+  std::map<std::string, Time> m_renewedAt;                ///< last renewal of leases, by job
+  std::map<std::uint64_t, schema::LeaseReport> m_leases;  ///< leases of the last report, by number
+  std::set<std::string> m_leaving;                        ///< leaving instances of the last report
+  std::set<std::string> m_atRisk;                         ///< guarantees last logged as at risk
+  std::set<std::string> m_workers;                        ///< workers of the last report
+  Time m_reportSentAt{};                                  ///< when the last report was requested
+  std::map<std::string, Time> m_runningSince;  ///< when this replica started the job or first found it running
 };
 
 }  // namespace courseloom
--- a/Courseloom/src/Control/QueueHandler.cpp
+++ b/Courseloom/src/Control/QueueHandler.cpp
@@ -11,14 +11,14 @@
 namespace {
 constexpr Duration CommitLimit = milliseconds(3000);
 
-/** \returns tasks of one occurrence. */
+/** \returns the number of tasks of one occurrence. */
 std::uint64_t tasks_of(const schema::WorkflowSpec& spec) {
   std::uint64_t tasks = 0;
   for (const schema::StepSpec& step : spec.steps()) tasks += step.count();
   return tasks;
 }
 
-/** \returns accelerators that the widest step takes at once. */
+/** \returns the accelerators that the step with the highest demand takes if all its tasks run at once. */
 std::uint64_t widest_accelerators(const schema::WorkflowSpec& spec) {
   std::uint64_t widest = 0;
   for (const schema::StepSpec& step : spec.steps()) {
@@ -29,7 +29,7 @@
 }  // namespace
 }  // namespace internal
 
-// ---- callers
+// ---- queue calls
 
 const schema::Queue* QueueHandler::findQueue(const schema::QueueCall& call, std::string& id) const {
   const schema::Queue* found = nullptr;
@@ -104,7 +104,7 @@
       co_await m_driver.submit(std::move(command), BootClock::now() + internal::CommitLimit);
   if (!reply) co_return fail(takeFailure(reply));
   const double tookMs = toMilliseconds(BootClock::now() - before);
-  // The configuration may have changed meanwhile; what was committed tells the queue.
+  // The committed workflow names the queue: the configuration may have changed meanwhile.
   const std::string& queueName = table().find(id)->record.queue();
   m_context.metrics.record("workflow_accept_ms", tenant, queueName, tookMs);
   logEvent(schema::WorkflowAccepted, {{"workflow", id},
@@ -174,7 +174,7 @@
     co_return fail(
         Failure{FailureCode::BadRequest, Ran::No, "drain hall", "", "'" + hall + "' cannot name a data hall", 0});
   }
-  // What this leader may read is committed, so an order that is sent again is done already.
+  // The state of a leader that can read is committed, so a retried order needs no further change.
   if (m_driver.state().hallDrains().contains(hall) == drained) co_return Result<void>();
   schema::Command command;
   command.set_operator_name("platform");
--- a/Courseloom/src/Control/QueueHandler.h
+++ b/Courseloom/src/Control/QueueHandler.h
@@ -10,22 +10,24 @@
 namespace courseloom {
 
 /** \class QueueHandler
- * \brief Serves callers of queues and the configuration on the leader, against the configuration in force at that
- * moment.
+ * \brief Serves queue calls and configuration requests on the leader, under the configuration in force at the time of
+ * the call.
  *
- * Runs on the control strand. Nothing here plans: what is taken in is committed, and the WorkflowRunner learns of it
- * there.
+ * Runs on the control strand. It does not plan: it commits accepted changes, and WorkflowRunner acts on them once they
+ * are applied.
  */
 class QueueHandler {
  public:
   QueueHandler(const DaemonContext& context, ReplicaDriver& driver) : m_context(context), m_driver(driver) {}
 
+  /** Handles a caller's submission, cancellation or query. \returns NoLeader where this replica cannot serve it */
   Awaitable<Result<schema::QueueAnswer>> call(schema::QueueCall call);
-  /** The highest version holds; one that is not above it is taken without effect. */
+  /** Commits a configuration. One whose version is not above the current version succeeds without effect. */
   Awaitable<Result<void>> putConfiguration(schema::QueueConfiguration configuration);
-  /** \returns the configuration in force, surely the newest one; NoLeader where this replica cannot be sure */
+  /** \returns the configuration in force, never an outdated one; NoLeader where this replica cannot ensure that */
   Awaitable<Result<schema::QueueConfiguration>> readConfiguration();
-  /** Drains a data hall or gives it back. \returns once a quorum holds that */
+  /** Drains a data hall, or ends its drain. \param drained whether to drain it \returns once the change is committed;
+   * NoLeader where this replica cannot serve it, BadRequest for an invalid name of a data hall */
   Awaitable<Result<void>> drainHall(std::string hall, bool drained);
 
  private:
--- a/Courseloom/src/Control/Recovery.cpp
+++ b/Courseloom/src/Control/Recovery.cpp
@@ -13,6 +13,7 @@
 namespace internal {
 namespace {
 
+/** \returns whether a disk is a voter. */
 bool votes(const schema::Members& members, const std::string& diskId) {
   for (const schema::Member& member : members.members()) {
     if (member.disk_id() == diskId && member.voter()) return true;
@@ -20,8 +21,9 @@
   return false;
 }
 
-/** Every commit since the newest members entry needed this disk if a quorum of its voters is all of them. */
-std::string say_what_is_missing(const ReplicaLog& log, const schema::HardState& hard, const std::string& diskId) {
+/** Describes which accepted commands this disk could lack. None if a quorum is made of all voters, this disk among
+ * them: every commit since the newest members entry then needed this disk. */
+std::string describe_missing_commands(const ReplicaLog& log, const schema::HardState& hard, const std::string& diskId) {
   const std::size_t voters = voterCount(log.members());
   const bool everyVoterNeeded = voters / 2 + 1 == voters;
   const bool membersCommitted = log.membersIndex() <= std::max<LogIndex>(hard.commit(), log.snapshot().info().index());
@@ -32,7 +34,8 @@
          " could be missing, if only other disks held them";
 }
 
-schema::Members only_voter(const schema::Members& members, ReplicaId id, const std::string& diskId) {
+/** \returns members with this disk as the only voter and all other disks retired. */
+schema::Members with_only_voter(const schema::Members& members, ReplicaId id, const std::string& diskId) {
   schema::Members next;
   *next.mutable_retired_disks() = members.retired_disks();
   for (const schema::Member& member : members.members()) {
@@ -74,7 +77,7 @@
   BOOST_LEAF_AUTO(state, store.open(settings.cluster().id(), id));
   const std::string diskId = store.identity().disk_id();
   const ReplicaLog log(state.snapshot, state.entries);
-  const std::string missing = internal::say_what_is_missing(log, state.hard, diskId);
+  const std::string missing = internal::describe_missing_commands(log, state.hard, diskId);
   ReplicaOutput output;
   output.hard = state.hard;
   output.hard->set_term(state.hard.term() + 1);
@@ -82,7 +85,7 @@
   schema::LogEntry entry;
   entry.set_index(log.lastIndex() + 1);
   entry.set_term(output.hard->term());
-  *entry.mutable_members() = internal::only_voter(log.members(), id, diskId);
+  *entry.mutable_members() = internal::with_only_voter(log.members(), id, diskId);
   output.append.push_back(std::move(entry));
   BOOST_LEAF_CHECK(store.write(output));
   logEvent(schema::Recovered, {{"index", log.lastIndex()}, {"missing", missing}});
--- a/Courseloom/src/Control/Recovery.h
+++ b/Courseloom/src/Control/Recovery.h
@@ -10,13 +10,13 @@
 
 namespace courseloom {
 
-/** Says what a control replica's data folder holds: identity, snapshot, log, members. For `courseloom-control
- * --inspect`. The process of that replica must not run. */
+/** \returns a description of a control replica's data folder: identity, snapshot, log and members. For
+ * `courseloom-control --inspect`. The replica's process must not be running. */
 Result<std::string> inspectFolder(const schema::Settings& settings);
 
-/** Makes this disk the only voter, so that the cluster can go on from it alone; the other disks are retired and come
- * back as new ones. For `courseloom-control --recover`, on an operator's word, when no quorum of disks is left.
- * \returns what was done, and whether accepted commands could be missing */
+/** Makes this disk the only voter, so that the cluster can continue from it alone. The other disks are retired, and
+ * their replicas join again with new ones. For `courseloom-control --recover`, which an operator runs when no quorum of
+ * disks is left. \returns what was done, and whether accepted commands could be missing */
 Result<std::string> recoverFolder(const schema::Settings& settings);
 
 }  // namespace courseloom
--- a/Courseloom/src/Control/ReplicaDriver.cpp
+++ b/Courseloom/src/Control/ReplicaDriver.cpp
@@ -43,19 +43,22 @@
   return ids;
 }
 
-/** Messages that may be under way to one peer; more are dropped, as a network would. */
-constexpr unsigned MaxSending = 32;
+/** Most sends in flight to one peer. Further messages are dropped, as a network might drop them. */
+constexpr unsigned MaxSendsInFlight = 32;
+/** Interval between requests to join. */
 constexpr Duration JoinInterval = milliseconds(250);
+/** Time limit of one request to join. */
 constexpr Duration JoinLimit = milliseconds(800);
-/** Silence of the leader after which a replica asks to be taken in. */
-constexpr Duration JoinAfter = milliseconds(800);
+/** Time since the last contact with a leader after which a replica requests to join. */
+constexpr Duration JoinSilence = milliseconds(800);
 
 StateLimits state_limits(const schema::ControlSettings& control) {
   return {control.max_kept_answer_bytes(), 1000ULL * control.claim_retention_s(),
           1000ULL * control.workflow_retention_s()};
 }
 
-/** New work may be refused for want of space; what ends work that has begun must not be. */
+/** \returns whether a command adds new work. New work is refused when disk space is short; commands that end work that
+ * has begun must not be refused. */
 bool is_new_work(const schema::Command& command) {
   return command.has_apply() || command.has_action() || command.has_open_claim() || command.has_submit() ||
          command.has_submit_workflow() || command.has_put_configuration();
@@ -128,7 +131,7 @@
     options.replaceAfter = milliseconds(settings.control().replace_after_ms());
     const std::size_t losses = settings.control().tolerated_losses();
     options.wantedVoters = losses > 0 ? 2 * losses + 1 : static_cast<std::size_t>(cluster.seeds_size());
-    for (const ReplicaId seed : internal::member_ids(settings)) m_joinAt.insert(seed);
+    for (const ReplicaId seed : internal::member_ids(settings)) m_joinContacts.insert(seed);
   }
   options.heartbeat = milliseconds(cluster.heartbeat_ms());
   options.electionTimeout = milliseconds(cluster.election_timeout_ms());
@@ -137,7 +140,8 @@
   return {};
 }
 
-/** An empty folder becomes that of a founder, at the very first start of a seed, or of a replica that joins. */
+/** Initialises an empty data folder: as a founder's if this replica is a seed and the settings ask to bootstrap, else
+ * as that of a joining replica. */
 Result<void> ReplicaDriver::prepareFolder(ReplicaId id) {
   if (m_store.exists()) return {};
   const schema::Settings& settings = m_context.settings;
@@ -162,20 +166,20 @@
 }
 
 void ReplicaDriver::addSeeds(const schema::ClusterSettings& cluster) {
-  for (const schema::Seed& seed : cluster.seeds()) m_joinAt.insert(replicaIdOf(seed.endpoint()));
+  for (const schema::Seed& seed : cluster.seeds()) m_joinContacts.insert(replicaIdOf(seed.endpoint()));
 }
 
 Awaitable<void> ReplicaDriver::joinLoop() {
   while (true) {
     co_await sleepFor(internal::JoinInterval);
     const Time now = BootClock::now();
-    if (now < m_replica->leaderHeard(now) + internal::JoinAfter) continue;
-    for (const ReplicaId id : memberIds()) m_joinAt.insert(id);
-    for (const ReplicaId id : m_joinAt) asio::co_spawn(m_strand, askToJoin(id), asio::detached);
+    if (now < m_replica->leaderHeard(now) + internal::JoinSilence) continue;
+    for (const ReplicaId id : memberIds()) m_joinContacts.insert(id);
+    for (const ReplicaId id : m_joinContacts) asio::co_spawn(m_strand, requestJoin(id), asio::detached);
   }
 }
 
-Awaitable<void> ReplicaDriver::askToJoin(ReplicaId at) {
+Awaitable<void> ReplicaDriver::requestJoin(ReplicaId at) {
   schema::JoinRequest request;
   request.set_id(replicaIdOf(m_context.settings.node().address()));
   request.set_disk_id(m_store.identity().disk_id());
@@ -183,12 +187,12 @@
   Result<schema::JoinReply> reply =
       co_await clientOf(at)->call<schema::JoinReply>("join", request, BootClock::now() + internal::JoinLimit);
   if (reply) {
-    for (const ReplicaId id : reply->members()) m_joinAt.insert(id);
+    for (const ReplicaId id : reply->members()) m_joinContacts.insert(id);
     co_return;
   }
   const Failure failure = takeFailure(reply);
   const std::optional<ReplicaId> leader = replicaNamedBy(failure);
-  if (leader) m_joinAt.insert(*leader);
+  if (leader) m_joinContacts.insert(*leader);
 }
 
 Result<schema::JoinReply> ReplicaDriver::join(const schema::JoinRequest& request) {
@@ -200,8 +204,9 @@
   return reply;
 }
 
-/** A disk that was replaced has no say any more; the replica begins anew with an empty one. */
-void ReplicaDriver::leaveIfRetired() {
+/** Ends the process if its disk was retired from the members. A retired disk must not vote any more, so it is erased,
+ * and the replica starts anew with an empty one. */
+void ReplicaDriver::exitIfRetired() {
   if (!usesSeeds()) return;
   const auto& retired = m_appliedMembers.retired_disks();
   if (std::find(retired.begin(), retired.end(), m_store.identity().disk_id()) == retired.end()) return;
@@ -245,7 +250,7 @@
 // ---- performing the replica's output
 
 void ReplicaDriver::drive() {
-  watchRole();
+  updateRole();
   send(m_replica->takeMessages());
   if (m_storing) return;
   if (snapshotDue()) return takeSnapshot();
@@ -265,7 +270,7 @@
   setStoring(true);
   asio::post(m_disk, [this, output = std::move(output)]() mutable {
     Result<void> written = m_store.write(output);
-    if (!written) endOnStorageFailure(takeFailure(written));
+    if (!written) exitOnStorageFailure(takeFailure(written));
     asio::post(m_strand, [this, output = std::move(output)] {
       setStoring(false);
       finish(output);
@@ -274,8 +279,8 @@
   });
 }
 
-void ReplicaDriver::endOnStorageFailure(const Failure& failure) {
-  // After a failed write or sync nobody knows what the disk holds; only a fresh start can tell.
+void ReplicaDriver::exitOnStorageFailure(const Failure& failure) {
+  // After a failed write or sync the content of the disk is unknown; it has to be read again at a restart.
   logFailure(schema::StorageFailed, failure);
   flushLog();
   std::cerr << "courseloom-control: " << failure.text() << "\n";
@@ -286,7 +291,7 @@
   if (output.install) {
     const schema::SnapshotInfo& info = output.install->info();
     Result<void> loaded = m_state.load(output.install->state());
-    if (!loaded) endOnStorageFailure(takeFailure(loaded));
+    if (!loaded) exitOnStorageFailure(takeFailure(loaded));
     m_applied = info.index();
     m_appliedTerm = info.term();
     m_appliedMembers = info.members();
@@ -307,7 +312,7 @@
   if (entry.has_members()) {
     m_appliedMembers = entry.members();
     logEvent(schema::MembersChanged, {{"index", entry.index()}, {"members", entry.members().ShortDebugString()}});
-    leaveIfRetired();
+    exitIfRetired();
   }
   Result<schema::CommandReply> reply = schema::CommandReply();
   schema::Command command;
@@ -316,9 +321,9 @@
   const auto waiter = m_waiters.find(entry.index());
   if (waiter == m_waiters.end()) return;
   if (waiter->second.term != entry.term()) {
-    // Another leader's command took this place in the log, so the waiting one can never be committed.
-    Failure overruled = noLeader("commit");
-    reply = fail(std::move(overruled));
+    // Another leader's entry was committed at this index, so the submitted command can never be committed.
+    Failure superseded = noLeader("commit");
+    reply = fail(std::move(superseded));
   }
   waiter->second.done->set(std::move(reply));
   m_waiters.erase(waiter);
@@ -331,22 +336,22 @@
 void ReplicaDriver::sendOne(schema::ReplicaMessage message) {
   const std::shared_ptr<RpcClient> client = clientOf(message.to());
   if (!client) return;
-  std::shared_ptr<std::atomic<unsigned>>& sending = m_sending[message.to()];
-  if (!sending) sending = std::make_shared<std::atomic<unsigned>>(0);
-  if (sending->load() >= internal::MaxSending) return;
+  std::shared_ptr<std::atomic<unsigned>>& inFlight = m_sendsInFlight[message.to()];
+  if (!inFlight) inFlight = std::make_shared<std::atomic<unsigned>>(0);
+  if (inFlight->load() >= internal::MaxSendsInFlight) return;
   const Time deadline = BootClock::now() + 2 * milliseconds(m_context.settings.cluster().election_timeout_ms());
-  // A lost message is the replica's to repeat; failures show in the metrics and in the peer's silence.
+  // Replica resends lost messages. Failures show in the metrics and in the missing contact with the peer.
   asio::co_spawn(
       m_context.io,
-      [this, client, sending, message = std::move(message), deadline]() -> Awaitable<void> {
-        const Counted<unsigned> counted(*sending);
+      [this, client, inFlight, message = std::move(message), deadline]() -> Awaitable<void> {
+        const Counted<unsigned> counted(*inFlight);
         Result<schema::Empty> reply = co_await client->call<schema::Empty>("replicate", message, deadline);
         if (!reply) m_context.metrics.count("replica_send_failures", client->peer());
       },
       asio::detached);
 }
 
-void ReplicaDriver::watchRole() {
+void ReplicaDriver::updateRole() {
   if (m_replica->isLeader() == m_leads) return;
   m_leads = m_replica->isLeader();
   logEvent(m_leads ? schema::BecameLeader : schema::LostLeadership, {{"term", m_replica->term()}});
@@ -420,7 +425,7 @@
   setStoring(true);
   asio::post(m_disk, [this, snapshot, hard = m_replica->hardState(), keep] {
     Result<void> written = m_store.compact(*snapshot, hard, keep);
-    if (!written) endOnStorageFailure(takeFailure(written));
+    if (!written) exitOnStorageFailure(takeFailure(written));
     asio::post(m_strand, [this, snapshot] {
       setStoring(false);
       m_replica->compact(*snapshot);
--- a/Courseloom/src/Control/WorkflowAgents.cpp
+++ b/Courseloom/src/Control/WorkflowAgents.cpp
@@ -1,7 +1,7 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// The part of WorkflowRunner that serves agents: takes their reports, and answers with orders and grants.
+// The part of WorkflowRunner that serves agents: receives their reports and answers with orders and leases.
 
 #include <xxhash.h>
 
@@ -15,16 +15,16 @@
 namespace internal {
 namespace {
 
-/** Relays that nodes are told of: one is enough, and others may be cut off with the node itself. */
-constexpr std::size_t RelaysNamed = 4;
+/** Most relays that a reply lists. One is enough, but some may lose their connection together with the node itself. */
+constexpr std::size_t MaxRelaysPerReply = 4;
 
-/** \returns a number of the replicas and relays that a reply names; never 0. */
+/** \returns a hash of the replicas and relays that a reply lists; never 0. */
 std::uint64_t directory_of(const schema::AttendReply& reply) {
   const std::uint64_t members = XXH64(reply.members().data(), sizeof(std::uint32_t) * reply.members_size(), 0);
   return XXH64(reply.relays().data(), sizeof(std::uint32_t) * reply.relays_size(), members) | 1U;
 }
 
-/** \returns what an end rests on: the words of the report that said so. */
+/** \returns the reason for a run's end, as given by the report that contains it. */
 std::string reason_of(const schema::RunEnd& end, const schema::AttendRequest& report) {
   const RunKey key = runKeyOf(end.task(), end.run());
   for (const schema::EndReport& row : report.ends()) {
@@ -38,10 +38,11 @@
 }  // namespace internal
 
 std::vector<std::uint32_t> WorkflowRunner::relaysFor(const std::string& asker) {
-  return m_relays.relaysFor(asker, internal::RelaysNamed);
+  return m_relays.relaysFor(asker, internal::MaxRelaysPerReply);
 }
 
-/** \returns what any agent may know: who leads, and the ways there. */
+/** \returns a reply without orders or lease: term, report interval, replicas and relays. Replicas and relays are left
+ * out if the request's hash of them is current. */
 schema::AttendReply WorkflowRunner::makeReply(const schema::AttendRequest& request) {
   schema::AttendReply reply;
   reply.set_term(m_driver.replica().term());
@@ -57,17 +58,18 @@
   return reply;
 }
 
-/** Nothing of the report is lost: its agent tells it again at once. */
-schema::AttendReply WorkflowRunner::askForWhole(const schema::AttendRequest& request) {
+/** \returns a reply that asks the agent for a full report. The agent sends it at once, so nothing of the incomplete
+ * report is lost. */
+schema::AttendReply WorkflowRunner::requestFullReport(const schema::AttendRequest& request) {
   m_context.metrics.count("reports_incomplete", "all");
   schema::AttendReply reply = makeReply(request);
   reply.set_whole_wanted(true);
   return reply;
 }
 
-/** Losses are told for themselves; most ends are of work that is done, and those go with the story of their workflow.
- */
-void WorkflowRunner::tellEnded(const schema::RunEnd& end, const schema::AttendRequest& report) const {
+/** Logs the end of a run. Runs that end done or stopped are the majority and are logged in the log group of their
+ * workflow; other ends are always logged. */
+void WorkflowRunner::logRunEnd(const schema::RunEnd& end, const schema::AttendRequest& report) const {
   const bool usual = end.kind() == schema::RunDone || end.kind() == schema::RunStopped;
   const auto log = [&](std::initializer_list<LogField> fields) {
     usual ? logStory(schema::RunEnded, end.task().workflow(), fields) : logEvent(schema::RunEnded, fields);
@@ -83,12 +85,12 @@
        {"ageMs", std::uint64_t{report.running_age_ms()}}});
 }
 
-schema::RecordRuns WorkflowRunner::endsIn(const schema::AttendRequest& report, Time received) {
+schema::RecordRuns WorkflowRunner::collectEnds(const schema::AttendRequest& report, Time received) {
   schema::RecordRuns runs;
   for (schema::RunEnd& end : m_ledger.takeReport(report, received)) {
-    noteWholeTime(end, received);
-    noteLived(end);
-    tellEnded(end, report);
+    recordFullRunTime(end, received);
+    recordStartSurvived(end);
+    logRunEnd(end, report);
     *runs.add_ends() = std::move(end);
   }
   return runs;
@@ -101,28 +103,29 @@
     logEvent(schema::ReportRefused, {{"agent", request.agent()}, {"sequence", request.sequence()}});
     co_return fail(Failure{FailureCode::Fenced, Ran::No, "attend", request.agent(), "a newer report has come", 0});
   }
-  if (m_ledger.isCurrent(request) && !m_ledger.complete(request)) co_return askForWhole(request);
+  if (m_ledger.isCurrent(request) && !m_ledger.complete(request)) co_return requestFullReport(request);
   const std::uint64_t term = m_driver.replica().term();
   const bool wasKnown = m_ledger.isKnown(request);
   const bool wasAsked = m_ledger.asked(request.agent());
   const TargetOffer offered = m_ledger.offer(request.agent(), received);
-  schema::RecordRuns runs = endsIn(request, received);
-  // Answered at once: the agent's next report carries this term, and counts.
+  schema::RecordRuns runs = collectEnds(request, received);
+  // Answered at once: the agent's next report carries this term and is then processed.
   if (!m_ledger.isCurrent(request)) co_return makeReply(request);
   if (runs.ends_size() > 0 && !co_await commitRuns(std::move(runs))) co_return fail(m_driver.noLeader("attend"));
-  notifyAgent(request.agent());  // a report that is held back has been overtaken
-  // Ends wake the planner when they are applied; how far runs have come counts at the next tick.
-  if (wasAsked || m_ledger.offer(request.agent(), received) != offered) wake();
+  notifyAgent(request.agent());  // ends the delayed reply to an older report
+  // Ends trigger a plan when they are applied; the progress of runs is used at the next tick.
+  if (wasAsked || m_ledger.offer(request.agent(), received) != offered) requestPlan();
   const Time end = received + milliseconds(request.wait_ms());
-  // After an outage little is left of a former leader's grant.
+  // Not delayed for an agent that is new to this leader: after an outage little is left of a former leader's lease.
   const bool hasNews = !wasKnown || request.ends_size() > 0 || request.started_size() > 0;
   while (leads() && !hasNews && !m_released && BootClock::now() < end) {
     if (m_ledger.asked(request.agent()) || m_ledger.isOvertaken(request)) break;
     if (m_ledger.hasOrders(request.agent(), table(), BootClock::now())) break;
     co_await m_agentSignals[request.agent()].wait(end);
   }
-  // What was taken in before a change of leader is forgotten, and must not be answered in a later term.
-  // One instant for the check and the grant: a process that is paused in between must not grant beyond its lease.
+  // State from before a change of leader is discarded, so this report must not be answered in a later term.
+  // The check and the lease use the same instant: a process that is paused in between must not extend the lease beyond
+  // its own leadership.
   const Time now = BootClock::now();
   const bool sameLeader = leads(now) && m_driver.replica().term() == term;
   if (!sameLeader || m_released) co_return fail(m_driver.noLeader("attend"));
@@ -132,7 +135,7 @@
   for (const schema::EndReport& row : request.ends()) {
     reply.set_ends_taken(std::max<std::uint64_t>(reply.ends_taken(), row.number()));
   }
-  // The way of a report that was overtaken may be cut; its answer brings nothing that must arrive.
+  // The connection of a superseded report may be broken, so its answer must not carry orders.
   if (!m_ledger.isOvertaken(request)) {
     for (schema::RunOrder& order : m_ledger.takeOrders(request.agent(), table(), now)) {
       *reply.add_orders() = std::move(order);
--- a/Courseloom/src/Control/WorkflowPlanning.cpp
+++ b/Courseloom/src/Control/WorkflowPlanning.cpp
@@ -1,7 +1,8 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// The part of WorkflowRunner that tells RunPlanner of targets, runs and waiting steps, and turns its plan into starts.
+// The part of WorkflowRunner that collects targets, runs and waiting steps for RunPlanner, and turns its plan into
+// starts.
 
 #include <algorithm>
 #include <boost/asio/bind_executor.hpp>
@@ -22,17 +23,19 @@
 namespace internal {
 namespace {
 
+/** Cores that one accelerator counts for when work is measured in core seconds. */
 constexpr double AcceleratorCores = 8.0;
 constexpr double MillisecondsPerSecond = 1000.0;
-/** Work of a task that is lost at a stop although it saves its progress, ms. */
+/** Run time that a checkpointable task loses when it is stopped, ms. */
 constexpr double CheckpointLossMs = 300.0;
-/** Work that a stopped gang is taken to lose beside what it had done, ms: it has to wait for a whole place again. */
+/** Run time that a stopped gang is assumed to lose in addition to its progress, ms: it has to wait until all its
+ * members can be placed again. */
 constexpr double GangRestartMs = 2000.0;
-/** A workflow that takes this many times its objective is worth nothing to its caller. */
+/** A workflow is worthless to its caller once it takes this many times its objective. */
 constexpr double WorthlessAfter = 3.0;
-/** Accelerators that urgent work is taken to need before any was seen. */
+/** Assumed peak demand of urgent work before any was observed, accelerators. */
 constexpr double FirstUrgentPeak = 16.0;
-/** Time in which a peak of urgent work fades to a third, ms. */
+/** Time constant of the exponential decay of the urgent peak, ms; the peak falls to about a third in this time. */
 constexpr double UrgentPeakFadeMs = 20000.0;
 constexpr double AcceleratorsPerTarget = 8.0;
 
@@ -41,7 +44,7 @@
          std::to_string(key.run);
 }
 
-/** \returns the cores that a task of a step takes, its accelerators counted in. */
+/** \returns the cores that a task of a step takes, with its accelerators converted to cores. */
 double cores_of(const schema::StepSpec& step) {
   return static_cast<double>(step.need().cpu_milli()) / MillisecondsPerSecond +
          AcceleratorCores * step.need().accelerators();
@@ -50,15 +53,16 @@
 }  // namespace
 }  // namespace internal
 
-/** Reports, votes and commits go on while a long pass yields; what it decides is checked against what they changed. */
+/** A long planning pass yields the strand to reports, votes and commits. Afterwards the plan is checked against the
+ * changes that were made meanwhile. */
 Awaitable<schema::RecordRuns> WorkflowRunner::makePlan() {
-  learnFromRuns();
+  updateEstimator();
   markGuaranteed();
   std::vector<PlannedStep> steps = planSteps();
   if (steps.empty()) co_return schema::RecordRuns();
   const std::vector<PlannedTarget>& targets = planTargets();
   const std::vector<PlannedRun> active = planRuns(targets);
-  const unsigned keepWhole = wholeTargetsToKeep(active, steps);
+  const unsigned keepWhole = freeTargetsToKeep(active, steps);
   const Term term = m_driver.replica().term();
   const Duration share = milliseconds(m_context.settings.control().plan_share_ms());
   m_planner.begin(targets, active, steps, keepWhole, static_cast<double>(wallClockMs()));
@@ -70,20 +74,20 @@
     co_await boost::asio::post(boost::asio::bind_executor(m_strand, boost::asio::use_awaitable));
     shareEnds = BootClock::now() + share;
   }
-  // Workflows, drained data halls and the lives of targets may all have changed while the pass let others go on.
+  // Workflows, drained data halls and target incarnations may have changed while the pass yielded.
   const std::vector<std::string> owners = yielded ? m_planner.workflowsOfSteps() : std::vector<std::string>();
   RunPlan plan = m_planner.finish();
   if (!leads() || m_driver.replica().term() != term) co_return schema::RecordRuns();
   if (yielded) {
     for (std::size_t i = 0; i < steps.size(); ++i) steps[i].workflow = table().find(owners[i]);
-    dropOutdated(plan, steps, [&](std::size_t target) { return takesStarts(targets[target]); });
+    dropOutdated(plan, steps, [&](std::size_t target) { return acceptsStarts(targets[target]); });
   }
   stopPlanned(plan, steps);
   co_return recordStarts(startsInReach(plan, steps, targets), steps, targets);
 }
 
-/** \returns whether a target that was planned for still lives and may be given runs. */
-bool WorkflowRunner::takesStarts(const PlannedTarget& target) const {
+/** \returns whether a target of the plan still has the same incarnation and may get new runs. */
+bool WorkflowRunner::acceptsStarts(const PlannedTarget& target) const {
   if (!m_ledger.open(target.agent, BootClock::now())) return false;
   const TargetTrack& track = m_ledger.targets().at(target.agent);
   return track.report.id() == target.id && !isDrained(track);
@@ -125,8 +129,9 @@
   return runs;
 }
 
-/** A start for an agent that was just cut off holds its gang up for a whole grant, so agents that were not heard a
- * moment ago are asked for a sign of life first; the plan is made again when it comes. */
+/** \returns the starts whose agents have reported recently. A start for an agent that was just disconnected would delay
+ * its gang for a whole lease. Agents without a recent report are therefore asked to report first, and the plan is made
+ * again when the report arrives. */
 std::vector<RunPlan::Start> WorkflowRunner::startsInReach(const RunPlan& plan, const std::vector<PlannedStep>& steps,
                                                           const std::vector<PlannedTarget>& targets) {
   if (!m_context.settings.policy().ask_first()) return plan.starts;
@@ -141,7 +146,8 @@
   return starts;
 }
 
-/** A tenant's workflows of priority 0 lie within its guarantee, the earliest first, as long as it holds them all. */
+/** Marks the workflows that run within their tenants' guarantees. Each guarantee is assigned to the tenant's workflows
+ * of priority 0 in the order of submission; a workflow that exceeds what is left of it is skipped. */
 void WorkflowRunner::markGuaranteed() {
   m_guaranteed.clear();
   std::map<std::string, std::uint64_t> left;
@@ -160,9 +166,9 @@
     for (const schema::StepSpec& step : workflow->record.spec().steps()) {
       need = std::max<std::uint64_t>(need, std::uint64_t{step.count()} * step.need().accelerators());
     }
-    std::uint64_t& room = left[workflow->record.tenant()];
-    if (need == 0 || need > room) continue;
-    room -= need;
+    std::uint64_t& unassigned = left[workflow->record.tenant()];
+    if (need == 0 || need > unassigned) continue;
+    unassigned -= need;
     m_guaranteed.insert(workflow->record.id());
   }
 }
@@ -171,9 +177,9 @@
   return rankOf(workflow.record.priority(), m_guaranteed.count(workflow.record.id()) > 0);
 }
 
-/** As many as urgent work lately needed at its peak, less what it holds now; the peak fades. */
-unsigned WorkflowRunner::wholeTargetsToKeep(const std::vector<PlannedRun>& runs,
-                                            const std::vector<PlannedStep>& steps) {
+/** \returns the number of targets to keep fully free for urgent work: its decaying peak demand less the accelerators
+ * that it holds now, in targets. */
+unsigned WorkflowRunner::freeTargetsToKeep(const std::vector<PlannedRun>& runs, const std::vector<PlannedStep>& steps) {
   double held = 0.0;
   for (const PlannedRun& run : runs) held += run.rank <= UrgentRank ? static_cast<double>(run.need.accelerators) : 0.0;
   double wanted = held;
@@ -182,24 +188,25 @@
     wanted += static_cast<double>(step.tasks.size()) * step.workflow->step(step.key.step).need().accelerators();
   }
   const Time now = BootClock::now();
-  if (m_urgentSeen == Time{}) m_urgentPeak = internal::FirstUrgentPeak;
-  const double elapsedMs = m_urgentSeen == Time{} ? 0.0 : toMilliseconds(now - m_urgentSeen);
-  m_urgentSeen = now;
+  if (m_urgentPeakUpdated == Time{}) m_urgentPeak = internal::FirstUrgentPeak;
+  const double elapsedMs = m_urgentPeakUpdated == Time{} ? 0.0 : toMilliseconds(now - m_urgentPeakUpdated);
+  m_urgentPeakUpdated = now;
   m_urgentPeak = std::max(wanted, m_urgentPeak * std::exp(-elapsedMs / internal::UrgentPeakFadeMs));
   return static_cast<unsigned>(std::ceil(std::max(0.0, m_urgentPeak - held) / internal::AcceleratorsPerTarget));
 }
 
-/** Takes over what targets say of themselves, which changes seldom. */
-void WorkflowRunner::describeTargets() {
+/** Copies the targets' descriptions into the plan's targets, if any of them or the drained data halls changed, which is
+ * rare. */
+void WorkflowRunner::updateTargetDescriptions() {
   const std::pair<std::uint64_t, std::uint64_t> now{m_ledger.descriptions(), m_driver.state().hallDrains().version()};
-  if (now == m_describedAt) return;
-  m_describedAt = now;
+  if (now == m_planTargetsVersion) return;
+  m_planTargetsVersion = now;
   m_planTargets.clear();
-  m_planLives.clear();
+  m_planIncarnations.clear();
   for (const auto& [agent, track] : m_ledger.targets()) {
     const schema::TargetReport& report = track.report;
-    m_planLives.push_back(report.id());
-    if (isDrained(track)) continue;  // planned as if it were gone
+    m_planIncarnations.push_back(report.id());
+    if (isDrained(track)) continue;  // excluded from planning
     PlannedTarget& target = m_planTargets.emplace_back();
     target.id = report.id();
     target.agent = agent;
@@ -210,11 +217,11 @@
   }
 }
 
-/** \returns the targets as they are now; what is described stays in place from pass to pass. */
+/** \returns the targets with their current state; descriptions are kept from pass to pass. */
 const std::vector<PlannedTarget>& WorkflowRunner::planTargets() {
-  describeTargets();
+  updateTargetDescriptions();
   const Time now = BootClock::now();
-  const bool trusted = !m_health.tooManySuspect(m_planLives, now);
+  const bool trusted = !m_health.tooManySuspect(m_planIncarnations, now);
   auto planned = m_planTargets.begin();
   for (const auto& [agent, track] : m_ledger.targets()) {
     if (isDrained(track)) continue;
@@ -230,8 +237,8 @@
   return m_planTargets;
 }
 
-/** A gang ends with its slowest member, however far the others are. */
-void WorkflowRunner::endGangsTogether(std::vector<PlannedRun>& runs) {
+/** Sets the remaining time of each gang member to the longest one of its gang: a gang ends with its slowest member. */
+void WorkflowRunner::alignGangEnds(std::vector<PlannedRun>& runs) {
   std::map<std::string, double> remaining;
   for (const PlannedRun& run : runs) {
     if (run.gang.empty()) continue;
@@ -249,10 +256,10 @@
   const Time now = BootClock::now();
   std::vector<PlannedRun> runs;
   runs.reserve(m_ledger.runs().size());
-  // Runs of one step follow each other; what they share is worked out once.
-  std::optional<internal::RunsOfStep> shared;
+  // Runs of one step are adjacent in the map, so their shared properties are computed once per step.
+  std::optional<internal::StepRunInfo> shared;
   for (const auto& [key, track] : m_ledger.runs()) {
-    if (!shared || !shared->covers(key)) shared = sharedBy(key);
+    if (!shared || !shared->covers(key)) shared = stepRunInfo(key);
     const auto target = byAgent.find(track.agent);
     if (target == byAgent.end() || shared->workflow == nullptr) continue;
     PlannedRun& run = runs.emplace_back();
@@ -269,12 +276,12 @@
     run.lostWork = shared->cores * (lostMs + restartMs) / internal::MillisecondsPerSecond;
     run.remainingMs = remainingMs(track, shared->expectedMs);
   }
-  endGangsTogether(runs);
+  alignGangEnds(runs);
   return runs;
 }
 
-internal::RunsOfStep WorkflowRunner::sharedBy(const RunKey& key) const {
-  internal::RunsOfStep shared;
+internal::StepRunInfo WorkflowRunner::stepRunInfo(const RunKey& key) const {
+  internal::StepRunInfo shared;
   shared.name = {key.workflow, key.task.stepKey()};
   shared.workflow = table().find(key.workflow);
   if (shared.workflow == nullptr) return shared;
@@ -292,9 +299,9 @@
 
 std::vector<PlannedStep> WorkflowRunner::planSteps() {
   const std::uint64_t nowMs = wallClockMs();
-  m_serviceRooms.reset();
+  m_serviceCapacities.reset();
   m_openTargets.clear();
-  findTrials();
+  findTrialAgents();
   std::vector<PlannedStep> steps;
   for (const std::string& id : table().open()) {
     const WorkflowState* workflow = table().find(id);
@@ -337,21 +344,21 @@
       const StepName name{record.id(), key};
       const Time now = BootClock::now();
       step.waitedMs = toMilliseconds(now - m_readySince.try_emplace(name, now).first->second);
-      // A former leader's waiting counts too, as far as the log tells of it.
+      // Waiting time under former leaders counts too; the log has it only for steps without predecessors.
       if (spec.after().empty()) step.waitedMs = std::max(step.waitedMs, static_cast<double>(nowMs - due));
       if (m_advice.needed(queue))
         step.tickets = m_advice.ticketsFor(name, queue->advice(), openTargets(record.service()));
-      addParts(std::move(step), steps);
+      addStepParts(std::move(step), steps);
     }
   }
 }
 
-/** Work whose next failure ends its workflow keeps away from where anything failed lately too: where one failed at
- * once, two of three that follow fail as well. */
+/** \returns the targets on which the workflow has failed. For a step with a task on its last attempt, also the targets
+ * on which anything failed recently: where one run failed at once, two of the next three fail as well. */
 std::set<std::string> WorkflowRunner::targetsToAvoid(const WorkflowState& workflow, const PlannedStep& step) const {
   std::set<std::string> avoided = m_health.failedOn(workflow.record.id());
   if (!m_context.settings.policy().last_attempts()) return avoided;
-  // Mostly none is, and then no task has to be looked up.
+  // Usually the set is empty, and no task has to be examined.
   std::set<std::string> doubted = m_health.doubted(BootClock::now());
   if (doubted.empty()) return avoided;
   const bool last = std::any_of(step.tasks.begin(), step.tasks.end(), [&](std::uint32_t index) {
@@ -361,25 +368,25 @@
   return avoided;
 }
 
-/** \returns run time of a workflow's longest chain of steps, ms, as its objective counts it. */
+/** \returns the expected run time of a workflow's longest chain of steps, ms, on which its objective is based. */
 double WorkflowRunner::objectiveChainMs(const WorkflowState& workflow) {
-  if (!m_serviceRooms) m_serviceRooms = serviceRooms();
-  const auto found = m_serviceRooms->find(workflow.record.service());
-  const bool waves = m_context.settings.policy().waves() && found != m_serviceRooms->end();
+  if (!m_serviceCapacities) m_serviceCapacities = serviceCapacities();
+  const auto found = m_serviceCapacities->find(workflow.record.service());
+  const bool waves = m_context.settings.policy().waves() && found != m_serviceCapacities->end();
   const TaskTime taskMs = [&](const schema::StepSpec& step) { return expectedMs(workflow.record.queue(), step); };
   return longestChainMs(workflow.record.spec(), taskMs, waves ? found->second : Room());
 }
 
-/** \returns all room of each service's targets, whether they are open now or not. */
-std::map<std::string, Room> WorkflowRunner::serviceRooms() const {
-  std::map<std::string, Room> rooms;
+/** \returns the total capacity of each service's targets, whether they are open now or not. */
+std::map<std::string, Room> WorkflowRunner::serviceCapacities() const {
+  std::map<std::string, Room> capacities;
   for (const auto& [agent, track] : m_ledger.targets()) {
-    rooms[track.report.service()].add(roomOf(track.report.capacity()));
+    capacities[track.report.service()].add(roomOf(track.report.capacity()));
   }
-  return rooms;
+  return capacities;
 }
 
-/** \returns lives of a service's targets that may be given new runs, worked out once a pass. */
+/** \returns identities of a service's targets that may get new runs; computed once per planning pass. */
 const std::vector<std::string>& WorkflowRunner::openTargets(const std::string& service) {
   const auto known = m_openTargets.find(service);
   if (known != m_openTargets.end()) return known->second;
@@ -394,10 +401,10 @@
 
 const schema::Queue* WorkflowRunner::queueNamed(const std::string& name) {
   const schema::QueueConfiguration& configuration = table().configuration();
-  if (configuration.version() != m_queuesOf) {
+  if (configuration.version() != m_queuesVersion) {
     m_queues.clear();
     for (const schema::Queue& queue : configuration.queues()) m_queues.emplace(queue.name(), &queue);
-    m_queuesOf = configuration.version();
+    m_queuesVersion = configuration.version();
   }
   const auto found = m_queues.find(name);
   return found == m_queues.end() ? nullptr : found->second;
--- a/Courseloom/src/Control/WorkflowRunTimes.cpp
+++ b/Courseloom/src/Control/WorkflowRunTimes.cpp
@@ -1,7 +1,7 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// The part of WorkflowRunner that learns from runs how long tasks take and how fast targets are.
+// The part of WorkflowRunner that estimates run times of tasks and slowdowns of targets from observed runs.
 
 #include <algorithm>
 #include <cmath>
@@ -14,12 +14,13 @@
 namespace internal {
 namespace {
 
-/** Pause between two looks at what active runs show: a run tells its pace by then or not, looks are 250 ms apart. */
+/** Shortest interval between two updates from active runs. Runs are observed every 250 ms, so more frequent updates
+ * would find nothing new. */
 constexpr Duration LearnInterval = milliseconds(250);
-/** The same in times that a look takes: learning takes at most a hundredth of the leader's time. */
+/** The same interval as a multiple of an update's duration. It limits updates to a hundredth of the leader's time. */
 constexpr int PausePerLearning = 100;
-/** Longest run time that is told, ms; a run that stands still would say more than its field holds. */
-constexpr double LongestWholeMs = 1e9;
+/** Upper bound of a recorded run time, ms; the value of a stalled run could exceed its 32-bit field. */
+constexpr double MaxFullRunTimeMs = 1e9;
 constexpr double WholePercent = 100.0;
 
 const char* name_of(TargetSpeed speed) {
@@ -37,8 +38,9 @@
 }  // namespace
 }  // namespace internal
 
-/** \returns the time that a run's task takes on its target from its beginning to its end, ms, by the run's pace, or
- * nothing where that would not tell of the target: too little was seen, or the data is elsewhere. */
+/** \returns the run time of a run's whole task on its target, ms, extrapolated from the run's progress. Nothing if that
+ * does not characterise the target: the task is long-running, its data is in another rack, or too little progress was
+ * observed. */
 std::optional<double> WorkflowRunner::wholeMs(const RunKey& key, const RunTrack& track) const {
   const schema::StepSpec& step = table().find(key.workflow)->step(key.task.step);
   const auto target = m_ledger.targets().find(track.agent);
@@ -47,8 +49,8 @@
   return wholeByPaceMs(track);
 }
 
-/** \returns whether an active run began its task from the beginning, rather than from a checkpoint. */
-bool WorkflowRunner::beganAnew(const RunKey& key) const {
+/** \returns whether an active run started its task from the beginning rather than from a checkpoint. */
+bool WorkflowRunner::startedFromBeginning(const RunKey& key) const {
   const TaskState* task = table().find(key.workflow)->task(key.task);
   if (task == nullptr) return false;
   return std::any_of(task->active.begin(), task->active.end(), [&key](const schema::ActiveRun& run) {
@@ -56,24 +58,25 @@
   });
 }
 
-/** The end takes along what its run showed, so that each replica learns it from the log. */
-void WorkflowRunner::noteWholeTime(schema::RunEnd& end, Time now) const {
+/** Stores the run time of the run's whole task in its end, so that each replica reads it from the log. */
+void WorkflowRunner::recordFullRunTime(schema::RunEnd& end, Time now) const {
   const RunKey key = runKeyOf(end.task(), end.run());
   const auto run = m_ledger.runs().find(key);
   if (run == m_ledger.runs().end() || table().find(key.workflow) == nullptr) return;
   const RunTrack& track = run->second;
   const schema::StepSpec& step = table().find(key.workflow)->step(key.task.step);
   std::optional<double> whole = wholeMs(key, track);
-  // A short task may end before it was seen twice; a gang's would tell of its slowest member only.
-  const bool counts = end.kind() == schema::RunDone && !step.gang() && step.preferred_rack().empty();
-  if (!whole && counts && beganAnew(key)) whole = toMilliseconds(now - track.startedAt);
-  if (whole) end.set_whole_ms(static_cast<std::uint32_t>(std::clamp(*whole, 1.0, internal::LongestWholeMs)));
+  // A short task may end before it was observed twice, so its measured run time is used. A gang's run time would only
+  // reflect its slowest member.
+  const bool usesMeasured = end.kind() == schema::RunDone && !step.gang() && step.preferred_rack().empty();
+  if (!whole && usesMeasured && startedFromBeginning(key)) whole = toMilliseconds(now - track.startedAt);
+  if (whole) end.set_whole_ms(static_cast<std::uint32_t>(std::clamp(*whole, 1.0, internal::MaxFullRunTimeMs)));
 }
 
-/** Brings what is expected of run times up to date, with what active runs show by now. */
-void WorkflowRunner::learnFromRuns() {
+/** Updates the run time estimates from the log and from the progress of active runs, at most once per LearnInterval. */
+void WorkflowRunner::updateEstimator() {
   const Time now = BootClock::now();
-  if (!learns() || now < m_learnAgainAt) return;
+  if (!learns() || now < m_nextEstimatorUpdate) return;
   m_outlook = table().outlook();
   for (const auto& [key, track] : m_ledger.runs()) {
     const WorkflowState* workflow = table().find(key.workflow);
@@ -81,14 +84,14 @@
     if (whole) m_outlook.ran(stepOfRuns(*workflow, key.task.stepKey()), track.target, *whole, wallClockMs());
   }
   m_outlook.closeAll();
-  notePaces();
+  logSpeedChanges();
   const Duration took = BootClock::now() - now;
   m_context.metrics.record("learn_ms", "all", "all", toMilliseconds(took));
-  m_learnAgainAt = now + std::max(internal::LearnInterval, internal::PausePerLearning * took);
+  m_nextEstimatorUpdate = now + std::max(internal::LearnInterval, internal::PausePerLearning * took);
 }
 
-/** Tells of targets that are taken to be of another speed than before. */
-void WorkflowRunner::notePaces() {
+/** Logs targets whose estimated speed class has changed, and updates the gauge of slow targets. */
+void WorkflowRunner::logSpeedChanges() {
   std::map<std::string, TargetSpeed> speeds;
   double slow = 0.0;
   for (const auto& [agent, track] : m_ledger.targets()) {
@@ -128,19 +131,20 @@
   return statuses;
 }
 
-/** \returns the run time of a step's task to be expected on a usual target, ms. */
+/** \returns the expected run time of a step's task on a usual target, ms; the step's estimate if learning is off. */
 double WorkflowRunner::expectedMs(const std::string& queue, const schema::StepSpec& step) const {
   const auto estimateMs = static_cast<double>(step.estimate_ms());
   return learns() ? m_outlook.expectedMs(queue, estimateMs) : estimateMs;
 }
 
-/** \returns how many times as long as on a usual target a task takes on one. */
+/** \returns the time factor of a target: run time of a task on it relative to that on a usual target; 1 if learning is
+ * off. */
 double WorkflowRunner::timeFactor(const std::string& target) const {
   return learns() ? m_outlook.timeFactor(target) : 1.0;
 }
 
-/** \returns the time that a run still needs, ms. \param usualMs run time to be expected of its task on a usual target
- */
+/** \returns the remaining run time of a run, ms.
+ * \param usualMs expected run time of its whole task on a usual target, ms */
 double WorkflowRunner::remainingMs(const RunTrack& track, double usualMs) const {
   const double leftMs = usualMs * timeFactor(track.target) * (1.0 - track.percent / internal::WholePercent);
   const std::optional<double> byPace = learns() ? remainingByPaceMs(track, BootClock::now()) : std::nullopt;
--- a/Courseloom/src/Control/WorkflowRunner.cpp
+++ b/Courseloom/src/Control/WorkflowRunner.cpp
@@ -19,18 +19,19 @@
 
 constexpr Duration TickInterval = milliseconds(100);
 constexpr Duration CommitLimit = milliseconds(3000);
-/** Pause after a plan, in times that it took: planning takes at most a third of the leader's time, however often
- * something changes. */
+/** Pause after a plan, as a multiple of the plan's duration. It limits planning to a third of the leader's time,
+ * however often something changes. */
 constexpr int PausePerPlan = 2;
-/** A plan that takes less is not worth a timer. */
+/** No pause follows a plan that takes less than this: it would not be worth a timer. */
 constexpr Duration ShortPlan = milliseconds(1);
 constexpr Duration LongestPlanPause = milliseconds(50);
-/** An unfinished task whose percent stands at this is taken to be about to end. */
+/** Progress of a complete task. An unfinished task that reports it is assumed to be about to end. */
 constexpr double WholePercent = 100.0;
-/** Time that stopping a run may take before its target is gone, ms. */
+/** Time that is reserved for stopping a run before its target ends, ms. */
 constexpr double LeaveMarginMs = 300.0;
-/** A run that has not moved for this long, and for this share of its expected run time, stands still. A sound run moves
- * every hundredth of its work; the share bears a target that is six times too slow and looks that are 250 ms apart. */
+/** A run is stalled if its progress has not changed for this long, ms, and for StallShare of its expected run time. A
+ * healthy run makes progress at every hundredth of its work. The share tolerates a target that is six times too slow
+ * and observations that are 250 ms apart. */
 constexpr double StallMs = 700.0;
 constexpr double StallShare = 0.15;
 
@@ -67,7 +68,7 @@
     : m_context(context),
       m_strand(std::move(strand)),
       m_driver(driver),
-      m_advice(m_strand, std::move(advice), [this] { wake(); }),
+      m_advice(m_strand, std::move(advice), [this] { requestPlan(); }),
       m_ledger(internal::ledger_options(context.settings)),
       m_planner(internal::planner_options(context.settings)) {}
 
@@ -78,8 +79,8 @@
 
 void WorkflowRunner::lead(bool leads) {
   m_leads = leads;
-  m_inherits = leads;
-  m_queuesOf = 0;
+  m_changesInherited = leads;
+  m_queuesVersion = 0;
   m_queues.clear();
   m_relays.clear();
   m_advice.clear();
@@ -87,7 +88,7 @@
   m_health.clear();
   if (leads) m_ledger.lead(table(), BootClock::now(), m_driver.replica().term());
   for (auto& [agent, signal] : m_agentSignals) signal.notify();
-  wake();
+  requestPlan();
 }
 
 void WorkflowRunner::release() {
@@ -95,7 +96,7 @@
   for (auto& [agent, signal] : m_agentSignals) signal.notify();
 }
 
-void WorkflowRunner::wake() {
+void WorkflowRunner::requestPlan() {
   m_dirty = true;
   m_planWanted.notify();
 }
@@ -106,25 +107,25 @@
 }
 
 void WorkflowRunner::onApplied() {
-  takeDrains();
+  applyHallDrains();
   const std::vector<RunChange> changes = m_driver.takeRunChanges();
-  const std::vector<std::string> ended = m_driver.takeEndedWorkflows();
+  const std::vector<std::string> ended = m_driver.consumeEndedWorkflows();
   if (!m_leads) return;
-  m_ledger.apply(changes, BootClock::now(), m_inherits);
-  // What this leader starts is proposed once it leads, and applied later.
-  if (leads()) m_inherits = false;
+  m_ledger.apply(changes, BootClock::now(), m_changesInherited);
+  // This leader proposes its own starts only once it leads, so they are applied after this point.
+  if (leads()) m_changesInherited = false;
   for (const RunChange& change : changes) {
-    if (change.started) noteStarted(change);
+    if (change.started) recordFirstStart(change);
     if (!change.started) m_context.metrics.count("run_ends", schema::RunEndKind_Name(change.kind));
-    if (!change.started) noteHealth(change);
-    if (!change.started) tellCrash(change);
+    if (!change.started) recordHealth(change);
+    if (!change.started) logCrash(change);
     if (change.started) notifyAgent(change.run.agent());
-    if (!change.started) stopSiblings(change);
+    if (!change.started) stopGangMembers(change);
   }
   for (const std::string& id : ended) {
     const WorkflowState* workflow = table().find(id);
     if (workflow == nullptr) continue;
-    noteEnded(*workflow);
+    recordWorkflowEnd(*workflow);
     m_health.forget(id);
     m_advice.forget(id);
     std::erase_if(m_readySince, [&id](const auto& entry) { return entry.first.first == id; });
@@ -132,7 +133,7 @@
       for (const schema::ActiveRun& run : task.active) notifyAgent(run.agent());
     }
   }
-  wake();
+  requestPlan();
 }
 
 // ---- drained data halls
@@ -146,9 +147,9 @@
   return found != m_ledger.targets().end() && isDrained(found->second);
 }
 
-/** A start that is on its way to a hall when that is drained would begin there later; it goes elsewhere. What runs
- * there ends by itself. */
-void WorkflowRunner::takeDrains() {
+/** Stops unconfirmed starts in newly drained data halls, so that their tasks start elsewhere: such a start could still
+ * begin after the drain. Confirmed runs there are left to end by themselves. */
+void WorkflowRunner::applyHallDrains() {
   std::set<std::string> halls = m_driver.state().hallDrains().halls();
   if (halls == m_drainedHalls) return;
   for (const std::string& hall : m_drainedHalls) {
@@ -161,12 +162,12 @@
   }
   m_drainedHalls = std::move(halls);
   if (!m_leads) return;
-  std::vector<RunKey> onTheirWay;
+  std::vector<RunKey> unconfirmedStarts;
   for (const auto& [key, track] : m_ledger.runs()) {
-    if (!track.confirmed && !track.stopWanted && runsInDrainedHall(track)) onTheirWay.push_back(key);
+    if (!track.confirmed && !track.stopWanted && runsInDrainedHall(track)) unconfirmedStarts.push_back(key);
   }
-  for (const RunKey& key : onTheirWay) stopWhole(key, "its data hall is drained");
-  wake();
+  for (const RunKey& key : unconfirmedStarts) stopRunOrGang(key, "its data hall is drained");
+  requestPlan();
 }
 
 std::set<std::string> WorkflowRunner::dataHalls() const {
@@ -194,8 +195,8 @@
   return statuses;
 }
 
-/** Takes an end into the target's health, and tells if it changes what is believed of the target. */
-void WorkflowRunner::noteHealth(const RunChange& change) {
+/** Records the end of a run in its target's health, and logs if the target becomes suspect or trusted by that end. */
+void WorkflowRunner::recordHealth(const RunChange& change) {
   const std::string& target = change.run.target();
   const Time now = BootClock::now();
   const bool doubtedBefore = m_health.suspect(target, now) || m_health.onProbation(target, now);
@@ -207,17 +208,17 @@
       {{"target", target}, {"reason", schema::RunEndKind_Name(change.kind)}, {"workflow", change.task.workflow()}});
 }
 
-/** Members of a gang whose run has lost one would wait for it in vain until the target gives them up; the next run can
- * only begin when all of them are gone. */
-void WorkflowRunner::stopSiblings(const RunChange& change) {
+/** Stops the remaining members of a gang after one of them was lost. They would otherwise wait for the lost member
+ * until their targets give them up, and the gang's next run can only start once all of them have ended. */
+void WorkflowRunner::stopGangMembers(const RunChange& change) {
   const bool lost = change.kind == schema::RunVoided || change.kind == schema::RunLapsed ||
                     change.kind == schema::RunTargetLost || change.kind == schema::RunAlone;
   const WorkflowState* workflow = lost ? table().find(change.task.workflow()) : nullptr;
   if (workflow == nullptr || workflow->ended() || !workflow->step(change.task.step()).gang()) return;
-  stopWhole(runKeyOf(change.task, change.run.number()), "a member of its gang was lost");
+  stopRunOrGang(runKeyOf(change.task, change.run.number()), "a member of its gang was lost");
 }
 
-void WorkflowRunner::noteEnded(const WorkflowState& workflow) {
+void WorkflowRunner::recordWorkflowEnd(const WorkflowState& workflow) {
   const schema::Workflow& record = workflow.record;
   const std::uint64_t tookMs = record.ended_ms() - std::min(record.ended_ms(), record.submitted_ms());
   m_context.metrics.record("workflow_completion_ms", record.tenant(), record.queue(), static_cast<double>(tookMs));
@@ -226,10 +227,10 @@
                                    {"phase", schema::WorkflowPhase_Name(record.phase())},
                                    {"reason", record.reason()},
                                    {"tookMs", tookMs}});
-  tellGivenUp(workflow);
+  logGivenUpTasks(workflow);
 }
 
-void WorkflowRunner::noteStarted(const RunChange& change) {
+void WorkflowRunner::recordFirstStart(const RunChange& change) {
   const WorkflowState* workflow = table().find(change.task.workflow());
   if (workflow == nullptr || change.run.number() != 1) return;
   const schema::Workflow& record = workflow->record;
@@ -238,7 +239,7 @@
   m_context.metrics.record("first_start_ms", record.tenant(), record.queue(), static_cast<double>(waited));
 }
 
-void WorkflowRunner::showGauges() {
+void WorkflowRunner::updateGauges() {
   std::size_t openTargets = 0;
   const Time now = BootClock::now();
   for (const auto& [agent, track] : m_ledger.targets()) openTargets += m_ledger.open(track, now) ? 1 : 0;
@@ -251,7 +252,8 @@
   m_context.metrics.set("targets_open", static_cast<double>(openTargets));
 }
 
-/** Rooms shrink and targets go: that guarantees cannot all be met must not show first when they are called on. */
+/** Logs when the guarantees begin or cease to exceed the accelerators in reach. Capacities shrink and targets leave,
+ * and operators have to learn of a shortage before a tenant uses its guarantee. */
 void WorkflowRunner::reviewGuarantees() {
   if (m_ledger.arriving(BootClock::now())) return;
   std::uint64_t guaranteed = 0;
@@ -273,20 +275,20 @@
 Awaitable<void> WorkflowRunner::tickLoop() {
   while (true) {
     co_await sleepFor(internal::TickInterval);
-    showGauges();
+    updateGauges();
     if (!leads()) continue;
     m_relays.update(m_ledger.relays(BootClock::now()));
     co_await expireRuns();
     reviewRuns();
     reviewGuarantees();
-    if (!table().open().empty()) wake();
+    if (!table().open().empty()) requestPlan();
   }
 }
 
 Awaitable<void> WorkflowRunner::expireRuns() {
   schema::RecordRuns runs;
   for (schema::RunEnd& end : m_ledger.expire(BootClock::now())) {
-    noteLived(end);
+    recordStartSurvived(end);
     *runs.add_ends() = std::move(end);
   }
   if (runs.ends_size() == 0) co_return;
@@ -304,10 +306,10 @@
   co_return static_cast<bool>(reply);
 }
 
-// ---- runs that have to move
+// ---- runs that have to be restarted elsewhere
 
-/** Stops a run, and with it all members of its gang, so that they start again elsewhere from their checkpoint. */
-void WorkflowRunner::stopWhole(const RunKey& key, const char* reason) {
+/** Stops a run, and all members of its gang, so that they restart on other targets from their checkpoint. */
+void WorkflowRunner::stopRunOrGang(const RunKey& key, const char* reason) {
   const WorkflowState* workflow = table().find(key.workflow);
   if (workflow == nullptr) return;
   const bool gang = workflow->step(key.task.step).gang();
@@ -322,8 +324,8 @@
       {{"task", taskText(makeTaskId(key.workflow, key.task))}, {"run", std::uint64_t{key.run}}, {"reason", reason}});
 }
 
-/** \returns whether a run's target goes before the run would end. */
-bool WorkflowRunner::leavesTooLate(const RunKey& key, const RunTrack& track) const {
+/** \returns whether a run, or its gang, is expected to end after its draining target. */
+bool WorkflowRunner::endsAfterTarget(const RunKey& key, const RunTrack& track) const {
   const auto found = m_ledger.targets().find(track.agent);
   if (found == m_ledger.targets().end() || found->second.report.id() != track.target) return false;
   const TargetTrack& target = found->second;
@@ -332,7 +334,7 @@
   if (step.long_running()) return true;
   const double leftMs =
       static_cast<double>(target.report.remaining_ms()) - toMilliseconds(BootClock::now() - target.heard);
-  // A member that is done sooner waits for the others, and its target's end breaks them all.
+  // A member that is done sooner waits for the others, and the end of its target breaks the whole gang.
   const double usualMs = expectedMs(table().find(key.workflow)->record.queue(), step);
   const auto remaining = [&](const RunTrack& run) { return remainingMs(run, usualMs); };
   const double neededMs =
@@ -340,20 +342,21 @@
   return neededMs + internal::LeaveMarginMs > leftMs;
 }
 
-/** A gang works only while all its members do, so it stands still for as long as the last one of them. Silence of an
- * agent or of a target says nothing about its runs. */
+/** \returns whether a run is stalled. A gang makes progress only while all its members do, so it counts as stalled only
+ * if all members are. Missing reports of an agent or a target do not count as a stall of its runs. */
 bool WorkflowRunner::standsStill(const RunKey& key, const RunTrack& track) const {
   const schema::Workflow& record = table().find(key.workflow)->record;
   const schema::StepSpec& step = record.spec().steps(static_cast<int>(key.task.step));
   if (!track.confirmed || step.long_running() || track.percent >= internal::WholePercent) return false;
   if (track.stillMs <= internal::StallMs) return false;
-  const double patienceMs =
+  const double stallLimitMs =
       std::max(internal::StallMs, internal::StallShare * timeFactor(track.target) * expectedMs(record.queue(), step));
-  if (!step.gang()) return track.stillMs > patienceMs;
+  if (!step.gang()) return track.stillMs > stallLimitMs;
   for (std::uint32_t index = 0; index < step.count(); ++index) {
     const RunKey member{key.workflow, {key.task.occurrence, key.task.step, index}, key.run};
     const auto found = m_ledger.runs().find(member);
-    const bool still = found != m_ledger.runs().end() && found->second.confirmed && found->second.stillMs > patienceMs;
+    const bool still =
+        found != m_ledger.runs().end() && found->second.confirmed && found->second.stillMs > stallLimitMs;
     if (!still) return false;
   }
   return true;
@@ -365,18 +368,18 @@
   for (const auto& [key, track] : m_ledger.runs()) {
     const WorkflowState* workflow = table().find(key.workflow);
     if (track.stopWanted || workflow == nullptr || workflow->ended()) continue;
-    // Work that never ends by itself would keep a drained hall in use for good.
+    // A long-running task never ends by itself and would keep a drained data hall in use for good.
     const bool endless = workflow->step(key.task.step).long_running() && runsInDrainedHall(track);
-    if (endless || leavesTooLate(key, track)) leaving.push_back(key);
+    if (endless || endsAfterTarget(key, track)) leaving.push_back(key);
     if (standsStill(key, track)) still.push_back(key);
   }
-  for (const RunKey& key : leaving) stopWhole(key, "its target leaves");
+  for (const RunKey& key : leaving) stopRunOrGang(key, "its target leaves");
   for (const RunKey& key : still) {
     const std::string& target = m_ledger.runs().at(key).target;
     m_health.stalled(target, BootClock::now());
     logEvent(schema::TargetSuspected,
              {{"target", target}, {"reason", "a run stands still"}, {"workflow", key.workflow}});
-    stopWhole(key, "it stands still");
+    stopRunOrGang(key, "it stands still");
   }
 }
 
@@ -387,14 +390,14 @@
     while (!m_dirty) co_await m_planWanted.wait(BootClock::now() + milliseconds(1000));
     m_dirty = false;
     if (!leads()) continue;
-    m_inherits = false;
+    m_changesInherited = false;
     const Time before = BootClock::now();
     schema::RecordRuns runs = co_await makePlan();
-    m_planTook = BootClock::now() - before;
-    m_context.metrics.record("plan_ms", "all", "all", toMilliseconds(m_planTook));
+    m_planDuration = BootClock::now() - before;
+    m_context.metrics.record("plan_ms", "all", "all", toMilliseconds(m_planDuration));
     if (runs.starts_size() > 0) co_await commitRuns(std::move(runs));
-    if (m_planTook >= internal::ShortPlan)
-      co_await sleepFor(std::min(internal::LongestPlanPause, internal::PausePerPlan * m_planTook));
+    if (m_planDuration >= internal::ShortPlan)
+      co_await sleepFor(std::min(internal::LongestPlanPause, internal::PausePerPlan * m_planDuration));
   }
 }
 
--- a/Courseloom/src/Control/WorkflowRunner.h
+++ b/Courseloom/src/Control/WorkflowRunner.h
@@ -21,53 +21,59 @@
 
 namespace internal {
 
-/** What the active runs of one step have in common. */
-struct RunsOfStep {
+/** Properties that all active runs of one step share. */
+struct StepRunInfo {
   std::pair<std::string, StepKey> name;  ///< workflow and step
   const WorkflowState* workflow = nullptr;
-  Room need;
+  Room need;  ///< resources that one task needs
   Rank rank = UrgentRank;
   bool ended = false;
-  bool movable = true;
+  bool movable = true;  ///< false for long-running steps
   bool gang = false;
   bool checkpointable = false;
-  double cores = 0.0;
-  double expectedMs = 0.0;  ///< run time of a task
+  double cores = 0.0;       ///< cores that a task takes, accelerators converted to cores
+  double expectedMs = 0.0;  ///< expected run time of a task on a usual target
 
+  /** \returns whether a run belongs to this step. */
   bool covers(const RunKey& key) const { return key.task.stepKey() == name.second && key.workflow == name.first; }
 };
 
 }  // namespace internal
 
 /** \class WorkflowRunner
- * \brief Serves agents on the leader: plans runs of workflows, commits them, gives the orders, takes reports.
+ * \brief Serves agents on the leader: plans runs of workflows, commits them, sends orders and receives reports.
  *
- * Every start is committed before its order leaves, and every end before the target may forget it. Runs on the control
- * strand; all decisions are made by RunLedger and RunPlanner, which have no input or output of their own.
+ * Every start is committed before its order is sent. Every end is committed before the target may discard it. All
+ * functions run on the control strand. RunLedger and RunPlanner make all decisions; they do no input or output.
  */
 class WorkflowRunner {
  public:
+  /** \param advice advice service; if null, no step needs a ticket */
   WorkflowRunner(const DaemonContext& context, ControlStrand strand, ReplicaDriver& driver,
                  std::unique_ptr<AdvicePort> advice);
 
+  /** Starts the tick loop and the planning loop. Called once. */
   void start();
-  /** Begins or ends to act as leader. */
+  /** Starts or stops acting as leader. \param leads whether this replica leads from now on */
   void lead(bool leads);
-  /** Takes committed changes in. */
+  /** Processes the changes that were committed and applied since the last call. */
   void onApplied();
 
+  /** Handles an agent's report. The reply, with orders and the lease, is delayed by up to `wait_ms` of the request
+   * while there is nothing to send. \returns NoLeader where this replica does not lead, Fenced for a superseded one */
   Awaitable<Result<schema::AttendReply>> attend(schema::AttendRequest request);
-  /** \returns nodes that relay calls for one that cannot reach control. \param asker name of that node */
+  /** \returns numbers of nodes that can relay calls for a node that cannot reach control.
+   * \param asker name of the node */
   std::vector<std::uint32_t> relaysFor(const std::string& asker);
-  /** \returns data halls of the targets that are known. */
+  /** \returns the data halls of all known targets. */
   std::set<std::string> dataHalls() const;
-  /** \returns each drained data hall with the targets and runs that are still there. */
+  /** \returns each drained data hall with the numbers of targets and runs that are still in it. */
   std::vector<schema::HallDrainStatus> hallDrainStatus() const;
-  /** \returns each target with what is believed of it. */
+  /** \returns the status of each known target, with its estimated time factor. */
   std::vector<schema::TargetStatus> targetStatus() const;
-  /** Lets waiting agents go, so that they look for another leader. */
+  /** Ends all delayed replies to agents with a failure, so that the agents look for another leader. */
   void release();
-  /** \returns control replicas, for agents that follow them. */
+  /** Sets the function that returns the control replicas; replies to agents list them. */
   void setMembersSource(std::function<std::vector<ReplicaId>()> source) { m_membersSource = std::move(source); }
 
  private:
@@ -76,12 +82,12 @@
   Awaitable<void> tickLoop();
   Awaitable<void> planLoop();
   schema::AttendReply makeReply(const schema::AttendRequest& request);
-  schema::AttendReply askForWhole(const schema::AttendRequest& request);
-  void tellEnded(const schema::RunEnd& end, const schema::AttendRequest& report) const;
-  schema::RecordRuns endsIn(const schema::AttendRequest& report, Time received);
+  schema::AttendReply requestFullReport(const schema::AttendRequest& request);
+  void logRunEnd(const schema::RunEnd& end, const schema::AttendRequest& report) const;
+  schema::RecordRuns collectEnds(const schema::AttendRequest& report, Time received);
   Awaitable<bool> commitRuns(schema::RecordRuns runs);
   Awaitable<void> expireRuns();
-  void wake();
+  void requestPlan();
   bool leads() const { return leads(BootClock::now()); }
   bool leads(Time at) const { return m_leads && m_driver.canRead(at); }
   const WorkflowTable& table() const { return m_driver.state().workflows(); }
@@ -90,51 +96,51 @@
   void stopPlanned(const RunPlan& plan, const std::vector<PlannedStep>& steps);
   schema::RecordRuns recordStarts(const std::vector<RunPlan::Start>& starts, const std::vector<PlannedStep>& steps,
                                   const std::vector<PlannedTarget>& targets) const;
-  bool takesStarts(const PlannedTarget& target) const;
+  bool acceptsStarts(const PlannedTarget& target) const;
   std::vector<RunPlan::Start> startsInReach(const RunPlan& plan, const std::vector<PlannedStep>& steps,
                                             const std::vector<PlannedTarget>& targets);
   void reviewRuns();
-  void takeDrains();
+  void applyHallDrains();
   bool isDrained(const TargetTrack& target) const;
   bool runsInDrainedHall(const RunTrack& track) const;
-  void noteHealth(const RunChange& change);
-  void noteLived(schema::RunEnd& end) const;
-  void tellCrash(const RunChange& change) const;
-  void tellGivenUp(const WorkflowState& workflow) const;
-  bool isTrial(const WorkflowState& workflow, const RunKey& key, const RunTrack& track) const;
-  bool isInReach(const RunTrack& track) const;
-  void findTrials();
-  std::size_t newTrials(const PlannedStep& step) const;
-  void addParts(PlannedStep step, std::vector<PlannedStep>& steps);
-  void stopSiblings(const RunChange& change);
-  void noteEnded(const WorkflowState& workflow);
-  void noteStarted(const RunChange& change);
-  void showGauges();
+  void recordHealth(const RunChange& change);
+  void recordStartSurvived(schema::RunEnd& end) const;
+  void logCrash(const RunChange& change) const;
+  void logGivenUpTasks(const WorkflowState& workflow) const;
+  bool isTrialStart(const WorkflowState& workflow, const RunKey& key, const RunTrack& track) const;
+  bool isTargetReachable(const RunTrack& track) const;
+  void findTrialAgents();
+  std::size_t newTrialsAllowed(const PlannedStep& step) const;
+  void addStepParts(PlannedStep step, std::vector<PlannedStep>& steps);
+  void stopGangMembers(const RunChange& change);
+  void recordWorkflowEnd(const WorkflowState& workflow);
+  void recordFirstStart(const RunChange& change);
+  void updateGauges();
   void reviewGuarantees();
   void markGuaranteed();
   Rank rankOfWorkflow(const WorkflowState& workflow) const;
-  unsigned wholeTargetsToKeep(const std::vector<PlannedRun>& runs, const std::vector<PlannedStep>& steps);
-  bool leavesTooLate(const RunKey& key, const RunTrack& track) const;
+  unsigned freeTargetsToKeep(const std::vector<PlannedRun>& runs, const std::vector<PlannedStep>& steps);
+  bool endsAfterTarget(const RunKey& key, const RunTrack& track) const;
   bool standsStill(const RunKey& key, const RunTrack& track) const;
   bool learns() const { return m_context.settings.policy().learn_run_times(); }
   double expectedMs(const std::string& queue, const schema::StepSpec& step) const;
   double timeFactor(const std::string& target) const;
   double remainingMs(const RunTrack& track, double usualMs) const;
   std::optional<double> wholeMs(const RunKey& key, const RunTrack& track) const;
-  bool beganAnew(const RunKey& key) const;
-  void noteWholeTime(schema::RunEnd& end, Time now) const;
-  void learnFromRuns();
-  void notePaces();
-  void stopWhole(const RunKey& key, const char* reason);
-  void describeTargets();
+  bool startedFromBeginning(const RunKey& key) const;
+  void recordFullRunTime(schema::RunEnd& end, Time now) const;
+  void updateEstimator();
+  void logSpeedChanges();
+  void stopRunOrGang(const RunKey& key, const char* reason);
+  void updateTargetDescriptions();
   const std::vector<PlannedTarget>& planTargets();
-  static void endGangsTogether(std::vector<PlannedRun>& runs);
-  internal::RunsOfStep sharedBy(const RunKey& key) const;
+  static void alignGangEnds(std::vector<PlannedRun>& runs);
+  internal::StepRunInfo stepRunInfo(const RunKey& key) const;
   std::vector<PlannedRun> planRuns(const std::vector<PlannedTarget>& targets) const;
   std::vector<PlannedStep> planSteps();
   void addSteps(const WorkflowState& workflow, std::uint64_t nowMs, std::vector<PlannedStep>& steps);
   double objectiveChainMs(const WorkflowState& workflow);
-  std::map<std::string, Room> serviceRooms() const;
+  std::map<std::string, Room> serviceCapacities() const;
   std::set<std::string> targetsToAvoid(const WorkflowState& workflow, const PlannedStep& step) const;
   const std::vector<std::string>& openTargets(const std::string& service);
   const schema::Queue* queueNamed(const std::string& name);
@@ -145,35 +151,36 @@
   ReplicaDriver& m_driver;
   AdviceBook m_advice;
   RunLedger m_ledger;
-  RelayDirectory m_relays;  ///< as of the last tick
+  RelayDirectory m_relays;  ///< updated at each tick
   RunPlanner m_planner;
   TargetHealth m_health;
-  RunOutlook m_outlook;                         ///< of the log, and of what active runs show by now
-  std::map<std::string, TargetSpeed> m_speeds;  ///< by target's life, as last told
-  Time m_learnAgainAt{};                        ///< when the outlook is next brought up to date
+  RunOutlook m_outlook;                         ///< run time estimates from the log and from the active runs
+  std::map<std::string, TargetSpeed> m_speeds;  ///< last logged speed, by target identity
+  Time m_nextEstimatorUpdate{};                 ///< time of the next update of the run time estimates
   ChangeSignal m_planWanted;
   std::map<std::string, ChangeSignal> m_agentSignals;
-  std::map<StepName, Time> m_readySince;
+  std::map<StepName, Time> m_readySince;  ///< when this leader first found the step ready
   std::function<std::vector<ReplicaId>()> m_membersSource;
-  std::set<std::string> m_drainedHalls;      ///< as last seen
-  std::vector<PlannedTarget> m_planTargets;  ///< in the order of the ledger's, without those in drained halls
-  std::vector<std::string> m_planLives;      ///< of all targets
-  std::pair<std::uint64_t, std::uint64_t> m_describedAt;  ///< descriptions and drains that m_planTargets follows
-  std::set<std::string> m_guaranteed;   ///< workflows within their tenants' guarantees, as of this plan
-  std::set<std::string> m_trialAgents;  ///< whose targets try a task, as of this plan
-  std::size_t m_trialsLeft = 0;         ///< tasks that may be put on trial in this plan
-  std::optional<std::map<std::string, Room>> m_serviceRooms;  ///< by service, as of this plan; nothing until asked for
-  std::map<std::string, const schema::Queue*> m_queues;       ///< by name, of the configuration of version m_queuesOf
-  std::uint64_t m_queuesOf = 0;
-  std::map<std::string, std::vector<std::string>> m_openTargets;  ///< by service, as of this plan
-  double m_urgentPeak = 0.0;    ///< accelerators that priority 0 lately needed at once
-  Time m_urgentSeen{};          ///< when the peak was last brought up to date
-  Duration m_planTook{};        ///< by the last plan
-  bool m_guaranteesFit = true;  ///< as last told
+  std::set<std::string> m_drainedHalls;         ///< as of the last applied change
+  std::vector<PlannedTarget> m_planTargets;     ///< in the ledger's order, without targets in drained halls
+  std::vector<std::string> m_planIncarnations;  ///< identities of all targets
+  /** Versions of the descriptions and of the drains that m_planTargets was made from. */
+  std::pair<std::uint64_t, std::uint64_t> m_planTargetsVersion;
+  std::set<std::string> m_guaranteed;   ///< workflows within their tenants' guarantees, in this plan
+  std::set<std::string> m_trialAgents;  ///< agents whose targets run a trial start, in this plan
+  std::size_t m_trialsLeft = 0;         ///< trial starts that this plan may still add
+  std::optional<std::map<std::string, Room>> m_serviceCapacities;  ///< by service; computed on first use in a plan
+  std::map<std::string, const schema::Queue*> m_queues;            ///< by name, in configuration m_queuesVersion
+  std::uint64_t m_queuesVersion = 0;
+  std::map<std::string, std::vector<std::string>> m_openTargets;  ///< by service; computed on first use in a plan
+  double m_urgentPeak = 0.0;    ///< decaying maximum of accelerators that work of priority 0 needs at once
+  Time m_urgentPeakUpdated{};   ///< when m_urgentPeak was last updated; zero before the first plan
+  Duration m_planDuration{};    ///< duration of the last plan
+  bool m_guaranteesFit = true;  ///< as last logged
   bool m_leads = false;
-  bool m_inherits = false;  ///< what is applied now was committed, or proposed, by a former leader
-  bool m_dirty = false;
-  bool m_released = false;
+  bool m_changesInherited = false;  ///< changes applied now were committed or proposed by a former leader
+  bool m_dirty = false;             ///< a new plan is requested
+  bool m_released = false;          ///< release() was called
 };
 
 }  // namespace courseloom
--- a/Courseloom/src/Control/WorkflowTrials.cpp
+++ b/Courseloom/src/Control/WorkflowTrials.cpp
@@ -1,8 +1,8 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// The part of WorkflowRunner that deals with tasks under which targets have crashed: what speaks against them, and
-// where they are tried.
+// The part of WorkflowRunner that handles suspect tasks, under which targets have crashed: it records the evidence and
+// plans their trial starts.
 
 #include <algorithm>
 
@@ -12,16 +12,17 @@
 
 namespace courseloom {
 
-/** The end takes along whether its run lived, so that each replica clears its task from the log. */
-void WorkflowRunner::noteLived(schema::RunEnd& end) const {
+/** Stores in a run's end whether the run survived its start phase, so that each replica clears the task of suspicion
+ * when it applies the end. */
+void WorkflowRunner::recordStartSurvived(schema::RunEnd& end) const {
   const WorkflowState* workflow = table().find(end.task().workflow());
   if (workflow == nullptr) return;
   const schema::StepSpec& step = workflow->step(end.task().step());
   end.set_lived(m_ledger.lived(runKeyOf(end.task(), end.run()), step.gang() ? step.count() : 1));
 }
 
-/** Tells of a crash that was just committed against a task. */
-void WorkflowRunner::tellCrash(const RunChange& change) const {
+/** Logs a target crash if the change has just added it to the evidence against its task. */
+void WorkflowRunner::logCrash(const RunChange& change) const {
   const WorkflowState* workflow = table().find(change.task.workflow());
   const TaskState* task = workflow == nullptr ? nullptr : workflow->task(keyOf(change.task));
   if (task == nullptr || !task->crashes.accused()) return;
@@ -36,7 +37,7 @@
                                  {"crashes", std::uint64_t{task->crashes.crashes().size()}}});
 }
 
-void WorkflowRunner::tellGivenUp(const WorkflowState& workflow) const {
+void WorkflowRunner::logGivenUpTasks(const WorkflowState& workflow) const {
   if (workflow.record.phase() != schema::WorkflowFailed) return;
   for (const auto& [key, task] : workflow.tasks) {
     if (!task.crashes.convicted()) continue;
@@ -46,59 +47,59 @@
   }
 }
 
-/** \returns whether a run of a task that is on trial has not shown yet that its target bears it. */
-bool WorkflowRunner::isTrial(const WorkflowState& workflow, const RunKey& key, const RunTrack& track) const {
+/** \returns whether a run is a trial start of a suspect task that has not survived StartPhase yet. */
+bool WorkflowRunner::isTrialStart(const WorkflowState& workflow, const RunKey& key, const RunTrack& track) const {
   if (!workflow.onTrial(key.task)) return false;
   return track.firstSeen == Time{} || track.seen - track.firstSeen < StartPhase;
 }
 
-/** \returns whether a run's target is there, as far as its agent tells. */
-bool WorkflowRunner::isInReach(const RunTrack& track) const {
+/** \returns whether a run's target is reachable and of the same incarnation, according to its agent's last report. */
+bool WorkflowRunner::isTargetReachable(const RunTrack& track) const {
   const auto target = m_ledger.targets().find(track.agent);
   if (target == m_ledger.targets().end()) return false;
   return target->second.report.reachable() && target->second.report.id() == track.target;
 }
 
-/** Notes agents whose targets try a task, so that nothing else is to be started there. Mostly there are none, and then
- * no run has to be looked up. */
-void WorkflowRunner::findTrials() {
+/** Finds the agents whose targets run a trial start, so that nothing else is started there. Usually no workflow has a
+ * suspect task, and no run has to be examined. */
+void WorkflowRunner::findTrialAgents() {
   m_trialAgents.clear();
   for (const std::string& id : table().open()) {
     const WorkflowState& workflow = *table().find(id);
     if (workflow.accusedTasks == 0) continue;
     for (auto run = m_ledger.runs().lower_bound({id, {}, 0}); run != m_ledger.runs().end(); ++run) {
       if (run->first.workflow != id) break;
-      const bool tries = isTrial(workflow, run->first, run->second) && isInReach(run->second);
-      if (tries) m_trialAgents.insert(run->second.agent);
+      const bool runsTrial = isTrialStart(workflow, run->first, run->second) && isTargetReachable(run->second);
+      if (runsTrial) m_trialAgents.insert(run->second.agent);
     }
   }
   m_trialsLeft = trialsAllowed(m_ledger.targets().size(), m_trialAgents.size());
 }
 
-/** \returns how many waiting tasks of a step may be put on trial now. */
-std::size_t WorkflowRunner::newTrials(const PlannedStep& step) const {
+/** \returns how many waiting tasks of a step may get a trial start now. */
+std::size_t WorkflowRunner::newTrialsAllowed(const PlannedStep& step) const {
   const std::string& id = step.workflow->record.id();
   std::size_t underWay = 0;
-  std::size_t lived = 0;
+  std::size_t survived = 0;
   const RunKey first{id, {step.key.occurrence, step.key.step, 0}, 0};
   for (auto run = m_ledger.runs().lower_bound(first); run != m_ledger.runs().end(); ++run) {
     if (run->first.workflow != id || run->first.task.stepKey() != step.key) break;
-    if (isTrial(*step.workflow, run->first, run->second)) {
+    if (isTrialStart(*step.workflow, run->first, run->second)) {
       ++underWay;
     } else if (step.workflow->onTrial(run->first.task)) {
-      ++lived;
+      ++survived;
     }
   }
   if (hasToBegin(step)) return step.tasks.size();
-  // A workflow of which nothing runs must not wait for the trials of others.
+  // A workflow without active runs must not wait for the trial starts of other workflows.
   const std::size_t left = step.workflow->activeRuns == 0 ? std::max<std::size_t>(1, m_trialsLeft) : m_trialsLeft;
-  return std::min(left, trialsOfStep(underWay, lived));
+  return std::min(left, trialsOfStep(underWay, survived));
 }
 
-/** Adds a step that waits, in parts where some of its tasks have to be tried. */
-void WorkflowRunner::addParts(PlannedStep step, std::vector<PlannedStep>& steps) {
+/** Adds a waiting step to a plan; divides it into parts if some of its tasks need a trial start. */
+void WorkflowRunner::addStepParts(PlannedStep step, std::vector<PlannedStep>& steps) {
   if (step.workflow->accusedTasks == 0) return steps.push_back(std::move(step));
-  const std::size_t most = newTrials(step);
+  const std::size_t most = newTrialsAllowed(step);
   for (PlannedStep& part : divideForTrial(std::move(step), most)) {
     if (part.trial) m_trialsLeft -= std::min(m_trialsLeft, part.tasks.size());
     steps.push_back(std::move(part));
