--- a/Courseloom/src/Admission/Admission.cpp
+++ b/Courseloom/src/Admission/Admission.cpp
@@ -11,10 +11,10 @@
 namespace internal {
 namespace {
 
-constexpr std::uint32_t LeastRetryMs = 50;
-constexpr std::uint32_t MostRetryMs = 60000;
-constexpr int MeanRunShare = 8;                ///< weight of a new run time in the mean: one eighth
-constexpr unsigned SlotsForUrgentReserve = 4;  ///< targets with fewer slots keep none back
+constexpr std::uint32_t MinRetryMs = 50;
+constexpr std::uint32_t MaxRetryMs = 60000;
+constexpr int MeanRunDivisor = 8;              ///< a new run time has a weight of one eighth in the mean
+constexpr unsigned SlotsForUrgentReserve = 4;  ///< targets with fewer slots reserve none for urgent requests
 
 int order_of(schema::Urgency urgency) {
   if (urgency == schema::Urgent) return 0;
@@ -68,7 +68,7 @@
 std::uint32_t Admission::retryAfterMs() const {
   const auto perSlot = m_meanRun.count() / 1000 / std::max(1U, m_options.slots);
   const auto drain = static_cast<std::uint64_t>(perSlot) * (m_queued + 1);
-  return static_cast<std::uint32_t>(std::clamp<std::uint64_t>(drain, internal::LeastRetryMs, internal::MostRetryMs));
+  return static_cast<std::uint32_t>(std::clamp<std::uint64_t>(drain, internal::MinRetryMs, internal::MaxRetryMs));
 }
 
 AdmissionAction Admission::refuse(std::uint64_t id, FailureCode code, const std::string& detail) const {
@@ -100,27 +100,28 @@
   }
   const std::uint64_t id = request.id;
   Queue& own = m_queues[request.workspace];
-  const auto after = std::find_if(own.begin(), own.end(), [&](const Waiting& waiting) {
+  const auto position = std::find_if(own.begin(), own.end(), [&](const Waiting& waiting) {
     return m_options.shares && internal::order_of(waiting.request.urgency) > internal::order_of(request.urgency);
   });
-  own.insert(after, {std::move(request), now});
+  own.insert(position, {std::move(request), now});
   ++m_queued;
   return {id, Verdict::Queue, {}};
 }
 
-/** The queue whose head goes next: urgent first, then owners of unused guarantees, then the least served share. */
+/** \returns the queue whose first request starts next, null if none may start. Urgent requests come first, then those
+ * of workspaces with unused guarantees, then those of the workspace with the fewest running requests by weight. */
 Admission::Queue* Admission::nextQueue() {
   Queue* best = nullptr;
   std::tuple<int, int, double, Time> bestKey;
   for (auto& [workspace, queue] : m_queues) {
     if (queue.empty() || !mayStart(queue.front().request)) continue;
     const auto guarantee = m_guaranteed.find(workspace);
-    const bool owed = guarantee != m_guaranteed.end() && runningOf(workspace) < guarantee->second;
+    const bool guaranteeUnused = guarantee != m_guaranteed.end() && runningOf(workspace) < guarantee->second;
     const auto weight = m_weights.find(workspace);
     const double share =
         runningOf(workspace) / static_cast<double>(weight == m_weights.end() ? 1 : std::max(1U, weight->second));
-    std::tuple<int, int, double, Time> key{internal::order_of(queue.front().request.urgency), owed ? 0 : 1, share,
-                                           queue.front().arrived};
+    std::tuple<int, int, double, Time> key{internal::order_of(queue.front().request.urgency), guaranteeUnused ? 0 : 1,
+                                           share, queue.front().arrived};
     if (!m_options.shares) key = {0, 0, 0.0, queue.front().arrived};
     if (best == nullptr || key < bestKey) {
       best = &queue;
@@ -148,7 +149,7 @@
   if (found == m_running.end()) return {};
   if (--m_runningOf[found->second] == 0) m_runningOf.erase(found->second);
   m_running.erase(found);
-  m_meanRun = m_meanRun == Duration(0) ? ran : m_meanRun + (ran - m_meanRun) / internal::MeanRunShare;
+  m_meanRun = m_meanRun == Duration(0) ? ran : m_meanRun + (ran - m_meanRun) / internal::MeanRunDivisor;
   std::vector<AdmissionAction> actions = tick(now);
   for (AdmissionAction& action : startNext()) actions.push_back(std::move(action));
   return actions;
--- a/Courseloom/src/Admission/Admission.h
+++ b/Courseloom/src/Admission/Admission.h
@@ -16,17 +16,17 @@
 namespace courseloom {
 
 /** \class AdmissionOptions
- * \brief Limits of one target.
+ * \brief Limits of one target, with switches for benches.
  */
 struct AdmissionOptions {
-  unsigned slots = 8;
-  unsigned queueLimit = 128;
-  bool shares = true;     ///< guaranteed slots and fair shares; off, the queue is first come first served (benches)
-  bool deadlines = true;  ///< refuse at once what cannot meet its deadline; off, it waits in vain (benches)
+  unsigned slots = 8;         ///< requests that may run at the same time
+  unsigned queueLimit = 128;  ///< requests that may wait
+  bool shares = true;         ///< guaranteed slots and fair shares; if off, the queue is first come, first served
+  bool deadlines = true;  ///< refuse requests that cannot meet their deadlines at once; if off, they wait until then
 };
 
 /** \class AdmissionRequest
- * \brief What Admission needs to know of a request.
+ * \brief Properties of a request that Admission uses.
  */
 struct AdmissionRequest {
   std::uint64_t id = 0;
@@ -35,25 +35,26 @@
   Time deadline{};
 };
 
+/** Decision on a request: start it now, keep it queued, or refuse it. */
 enum class Verdict : std::uint8_t { Start, Queue, Refuse };
 
 /** \class AdmissionAction
- * \brief What is to be done with a request now.
+ * \brief A decision on a request, for the caller to carry out.
  */
 struct AdmissionAction {
   std::uint64_t id = 0;
   Verdict verdict = Verdict::Start;
-  Failure failure;  ///< for Refuse; always ran no
+  Failure failure;  ///< reason, for Verdict::Refuse; states that the request did not run
 };
 
 /** \class Admission
- * \brief Slots of one target: hard limit, guaranteed slots by workspace, fair shares of the rest, a queue that knows
- * deadlines.
+ * \brief Allocates the slots of one target: a hard limit, guaranteed slots by workspace, fair shares of the other
+ * slots, and a queue that respects deadlines.
  *
- * Slots guaranteed to a workspace are kept for it: others take only what is beyond every unused guarantee. One further
- * slot is kept from work that is not urgent, so that urgent work does not wait behind long requests. A request that the
- * queue cannot serve in time is refused at once, and the retry time is worked out from the rate at which slots fall
- * free. Plain class; the caller gives the time and performs the actions.
+ * Slots guaranteed to a workspace are reserved for it: other workspaces use only slots beyond all unused guarantees.
+ * One further slot is reserved for urgent requests, so that they do not wait behind long requests. A request that the
+ * queue cannot serve in time is refused at once, with a retry time derived from the rate at which slots become free.
+ * The class uses no clock and does no input or output; the caller passes the time and carries out the actions.
  */
 class Admission {
  public:
@@ -61,22 +62,25 @@
 
   /** Replaces guaranteed slots and weights by workspace. */
   void setShares(std::map<std::string, unsigned> guaranteed, std::map<std::string, unsigned> weights);
-  /** Takes a request in. \returns its verdict */
+  /** Decides on a new request. \returns the decision; for Verdict::Queue a later action decides */
   AdmissionAction arrive(AdmissionRequest request, Time now);
-  /** A started request has freed its slot. \param ran how long it held the slot \returns what may start now */
+  /** Releases the slot of a started request. \param ran how long the request held the slot \returns decisions on queued
+   * requests; nothing for an unknown id */
   std::vector<AdmissionAction> finish(std::uint64_t id, Duration ran, Time now);
-  /** Refuses what can no longer meet its deadline. Call often, such as every 10 ms. */
+  /** Refuses queued requests that can no longer meet their deadlines, then starts queued ones unless slots are
+   * settling. To be called often, such as every 10 ms. */
   std::vector<AdmissionAction> tick(Time now);
-  /** Refuses all that waits and everything to come; what runs goes on. */
+  /** Refuses all queued and all later requests. Running requests continue. */
   std::vector<AdmissionAction> leave(const Failure& reason);
-  /** Counts slots that the target may still be using from a former life of the agent. */
+  /** Sets the number of slots that the target may still be using for a former incarnation of the agent; 0 ends this. */
   void setSettling(unsigned slots) { m_settling = slots; }
 
   unsigned running() const { return static_cast<unsigned>(m_running.size()); }
   unsigned queued() const { return m_queued; }
   unsigned freeSlots() const;
-  /** \returns when coming back helps, ms: the time that the queue takes to drain, at least 50 ms. */
+  /** \returns the time after which a retry is sensible, ms: the time to drain the queue, between 50 ms and a minute. */
   std::uint32_t retryAfterMs() const;
+  /** \returns the moving mean of the time for which requests held their slots; 0 before the first has ended. */
   Duration meanRun() const { return m_meanRun; }
 
  private:
@@ -98,13 +102,14 @@
   AdmissionOptions m_options;
   std::map<std::string, unsigned> m_guaranteed;
   std::map<std::string, unsigned> m_weights;
-  std::map<std::uint64_t, std::string> m_running;  ///< id to workspace
-  std::map<std::string, unsigned> m_runningOf;
+  std::map<std::uint64_t, std::string> m_running;  ///< workspace of each running request, by id
+  std::map<std::string, unsigned>
+      m_runningOf;                        ///< number of running requests, by workspace; only workspaces that have any
   std::map<std::string, Queue> m_queues;  ///< by workspace; urgent first, then by arrival
   unsigned m_queued = 0;
   unsigned m_settling = 0;
   Duration m_meanRun{};
-  std::optional<Failure> m_leaving;
+  std::optional<Failure> m_leaving;  ///< reason for refusing all requests; none while requests are admitted
 };
 
 }  // namespace courseloom
--- a/Courseloom/src/Admission/TokenTable.cpp
+++ b/Courseloom/src/Admission/TokenTable.cpp
@@ -9,18 +9,18 @@
   return {token.workspace(), token.request_id(), token.attempt(), token.incarnation()};
 }
 
-void TokenTable::makeRoom() {
+void TokenTable::evictIfFull() {
   if (m_tokens.size() < m_limit) return;
   ++m_incarnation;
-  std::erase_if(m_tokens, [](const auto& entry) { return entry.second.fate != schema::TokenRunning; });
+  std::erase_if(m_tokens, [](const auto& entry) { return entry.second.state != schema::TokenRunning; });
 }
 
 bool TokenTable::begin(const schema::Token& token) {
-  makeRoom();
+  evictIfFull();
   if (token.incarnation() != m_incarnation) return false;
-  const auto [entry, fresh] = m_tokens.try_emplace(keyOf(token));
-  if (fresh) entry->second.fate = schema::TokenRunning;
-  return fresh;
+  const auto [entry, inserted] = m_tokens.try_emplace(keyOf(token));
+  if (inserted) entry->second.state = schema::TokenRunning;
+  return inserted;
 }
 
 void TokenTable::tombstone(const schema::Token& token) { m_tokens[keyOf(token)] = {schema::TokenTombstoned, {}}; }
@@ -29,13 +29,13 @@
   m_tokens[keyOf(token)] = {schema::TokenFinished, answer};
 }
 
-void TokenTable::lose(const schema::Token& token) { m_tokens[keyOf(token)] = {schema::TokenUnknown, {}}; }
+void TokenTable::markUnknown(const schema::Token& token) { m_tokens[keyOf(token)] = {schema::TokenUnknown, {}}; }
 
 schema::ResolveReply TokenTable::resolve(const schema::Token& token) {
   schema::ResolveReply reply;
   const auto found = m_tokens.find(keyOf(token));
   if (found != m_tokens.end()) {
-    reply.set_fate(found->second.fate);
+    reply.set_fate(found->second.state);
     *reply.mutable_answer() = found->second.answer;
     return reply;
   }
@@ -43,7 +43,7 @@
     reply.set_fate(schema::TokenUnknown);
     return reply;
   }
-  makeRoom();
+  evictIfFull();
   if (token.incarnation() != m_incarnation) {
     reply.set_fate(schema::TokenUnknown);
     return reply;
--- a/Courseloom/src/Admission/TokenTable.h
+++ b/Courseloom/src/Admission/TokenTable.h
@@ -13,26 +13,27 @@
 namespace courseloom {
 
 /** \class TokenTable
- * \brief What one agent knows of the tokens of requests that must not be repeated.
+ * \brief States of the tokens of requests that must not be repeated, as known to one agent.
  *
- * A token starts once, and only in the incarnation it names. A token that is asked after before it came is tombstoned:
- * it can never start. The table lives in memory; an agent that restarts has a new incarnation and knows nothing of its
- * former life, so it refuses those tokens and says their fate is unknown. When the table is full it takes a new
- * incarnation likewise, rather than forget a tombstone.
+ * A token starts once, and only in the incarnation that it names. A token that is queried before it arrives is
+ * tombstoned: it can never start. The table is kept in memory. A restarted agent has a new incarnation and no tokens of
+ * the former one, so it refuses these and reports their outcome as unknown. A full table starts a new incarnation in
+ * the same way, since it must not forget a tombstone.
  */
 class TokenTable {
  public:
   TokenTable(std::uint64_t incarnation, std::size_t limit) : m_incarnation(incarnation), m_limit(limit) {}
 
-  /** Begins a token. \returns false if it must not start: used, tombstoned or of another incarnation */
+  /** Begins a token. \returns false if it must not start, since it is used, tombstoned or of another incarnation */
   bool begin(const schema::Token& token);
-  /** The token will never run: refused before anything reached the target. */
+  /** Marks a token as one that will never run: its request was refused before it reached the target. */
   void tombstone(const schema::Token& token);
-  /** The target has answered. */
+  /** Stores the answer of the target. */
   void finish(const schema::Token& token, const schema::Answer& answer);
-  /** The outcome is lost: the target failed in the middle. */
-  void lose(const schema::Token& token);
-  /** \returns what became of a token; one never seen is tombstoned by this. */
+  /** Marks the outcome of a token as unknown: the target failed during the exchange. */
+  void markUnknown(const schema::Token& token);
+  /** \returns the state of a token and its answer, if any. A token of this incarnation that has not arrived yet is
+   * tombstoned by the call. */
   schema::ResolveReply resolve(const schema::Token& token);
 
   std::uint64_t incarnation() const { return m_incarnation; }
@@ -41,12 +42,13 @@
  private:
   using Key = std::tuple<std::string, std::string, std::uint32_t, std::uint64_t>;
   struct Entry {
-    schema::TokenFate fate = schema::TokenTombstoned;
+    schema::TokenFate state = schema::TokenTombstoned;
     schema::Answer answer;
   };
 
   static Key keyOf(const schema::Token& token);
-  void makeRoom();
+  /** Starts a new incarnation if the table is full, and removes all tokens that are not running. */
+  void evictIfFull();
 
   std::uint64_t m_incarnation;
   std::size_t m_limit;
--- a/Courseloom/src/Agent/AgentService.cpp
+++ b/Courseloom/src/Agent/AgentService.cpp
@@ -19,13 +19,15 @@
 namespace internal {
 namespace {
 
+/** Time between checks of the queue for deadlines. */
 constexpr Duration TickInterval = milliseconds(10);
 /** How long an exchange may outlive its caller's deadline before its connection is closed. */
 constexpr Duration LingerLimit = milliseconds(60000);
 constexpr std::uint64_t MaxAnswerBytes = 64ULL * 1024 * 1024;
 const char* const ExchangeHeader = "Courseloom-Exchange";
 
-/** Grows with every start: wall clock first, then chance for two starts within a millisecond. */
+/** \returns a number that grows with every start: the time of day, ms, above 16 random bits for two starts within one
+ * millisecond. */
 std::uint64_t new_incarnation() { return (wallClockMs() << 16U) | (std::random_device()() & 0xffffU); }
 
 AdmissionOptions admission_options(const schema::AgentSettings& agent) {
@@ -69,13 +71,13 @@
   BOOST_LEAF_ASSIGN(m_listening.rpcPort, m_rpc.start(node.address(), node.rpc_port()));
   BOOST_LEAF_ASSIGN(m_listening.httpPort, m_http.start(node.address(), node.http_port()));
   if (m_context.settings.agent().settle_ms() > 0) m_admission.setSettling(m_context.settings.agent().slots());
-  m_follower.onView([this](const View& view) { takeView(view); });
+  m_follower.onView([this](const View& view) { applyView(view); });
   m_follower.start();
   asio::co_spawn(m_strand, tickLoop(), asio::detached);
   return m_listening;
 }
 
-void AgentService::takeView(const View& view) {
+void AgentService::applyView(const View& view) {
   std::map<std::string, unsigned> guaranteed;
   std::map<std::string, unsigned> weights;
   for (const auto& [name, object] : view.guarantees) {
@@ -119,7 +121,7 @@
   return Failure{code, ran, step, m_context.settings.agent().target(), detail, 0};
 }
 
-std::optional<Failure> AgentService::refusesNewWork(const schema::RunRequest& request) const {
+std::optional<Failure> AgentService::refusalOfNewWork(const schema::RunRequest& request) const {
   const auto refuse = [&](FailureCode code, const std::string& detail) {
     Failure failure = makeFailure(code, Ran::No, "agent", detail);
     failure.retryAfterMs = m_context.settings.cluster().freshness_lease_ms();
@@ -152,13 +154,13 @@
 
 Awaitable<schema::RunReply> AgentService::admitAndRun(schema::RunRequest request, Time deadline) {
   schema::RunReply reply;
-  if (const std::optional<Failure> refused = refusesNewWork(request)) {
+  if (const std::optional<Failure> refused = refusalOfNewWork(request)) {
     if (request.has_token()) m_tokens.tombstone(request.token());
     *reply.mutable_failure() = toInfo(*refused);
     co_return reply;
   }
   const bool begins = !request.has_token() || m_tokens.begin(request.token());
-  // A full table begins a new life with the token that it refuses.
+  // A full table starts a new incarnation when it refuses a token.
   m_incarnation = m_tokens.incarnation();
   if (!begins) {
     logEvent(schema::TokenFenced,
@@ -184,7 +186,7 @@
   co_return reply;
 }
 
-/** Waits for a slot. \returns why there is none, if so */
+/** Waits for a slot. \returns the reason for a refusal, or none once the request has a slot */
 Awaitable<std::optional<Failure>> AgentService::admit(std::uint64_t id, const schema::RunRequest& request,
                                                       Time deadline) {
   AdmissionAction action = m_admission.arrive({id, request.workspace(), request.urgency(), deadline}, BootClock::now());
@@ -192,7 +194,7 @@
     const auto admitted = std::make_shared<OneShot<AdmissionAction>>(m_strand);
     m_waiting[id] = admitted;
     m_queued = m_admission.queued();
-    // Admission itself answers before the deadline; the margin only covers a late tick.
+    // Admission decides before the deadline; the margin covers a late tick.
     std::optional<AdmissionAction> later = co_await admitted->wait(deadline + milliseconds(1000));
     m_waiting.erase(id);
     courseloom_assert(later.has_value());
@@ -230,7 +232,7 @@
   } else if (ran == Ran::No) {
     m_tokens.tombstone(token);
   } else {
-    m_tokens.lose(token);
+    m_tokens.markUnknown(token);
   }
   m_tokenChanged.notify();
 }
--- a/Courseloom/src/Agent/AgentService.h
+++ b/Courseloom/src/Agent/AgentService.h
@@ -21,9 +21,9 @@
 /** \class AgentService
  * \brief The agent daemon: guards one target's slots, fences tokens, and speaks HTTP to the target.
  *
- * Decisions run on one strand; exchanges with the target run beside it. An exchange that outlives its caller's deadline
- * goes on, since the target is still busy with it: its slot is held until it ends, and its answer is kept for whoever
- * asks after the token.
+ * Decisions run on one strand, exchanges with the target run in parallel to it. An exchange that outlives its caller's
+ * deadline continues, since the target is still busy with it. It keeps its slot until it ends, and its answer is stored
+ * for callers that query the token.
  */
 class AgentService : public Service {
  public:
@@ -45,8 +45,8 @@
   Awaitable<void> tickLoop();
   void deliver(std::vector<AdmissionAction> actions);
   void settleToken(const schema::Token& token, const Result<schema::Answer>& answer, Ran ran);
-  std::optional<Failure> refusesNewWork(const schema::RunRequest& request) const;
-  void takeView(const View& view);
+  std::optional<Failure> refusalOfNewWork(const schema::RunRequest& request) const;
+  void applyView(const View& view);
   schema::AgentLoad load() const;
   schema::NodeStatus status() const;
   Failure makeFailure(FailureCode code, Ran ran, const std::string& step, const std::string& detail) const;
@@ -60,7 +60,7 @@
   ViewFollower m_follower;
   RpcServer m_rpc;
   HttpServer m_http;
-  std::map<std::uint64_t, Admitted> m_waiting;
+  std::map<std::uint64_t, Admitted> m_waiting;  ///< queued requests, by number of the exchange
   std::uint64_t m_nextExchange = 1;
   std::atomic<std::uint64_t> m_incarnation;
   std::atomic<unsigned> m_running{0};
--- a/Courseloom/src/Agent/Fence.cpp
+++ b/Courseloom/src/Agent/Fence.cpp
@@ -10,14 +10,15 @@
 namespace internal {
 namespace {
 
-/** Steps are tenths of a second, counted from 2026-01-01. 33 bits count them for 27 years, so that tokens with 20 bits
- * of a term stay exact as floating-point numbers, as JSON readers may take them. */
+/** Steps are tenths of a second since 2026-01-01. 33 bits last for 27 years. Together with 20 bits of the term a token
+ * has 53 bits, so that JSON readers that parse numbers as floating-point keep it exact. */
 constexpr std::uint64_t StepMs = 100;
 constexpr std::uint64_t EpochMs = 1767225600000;
 constexpr unsigned TermBits = 20;
 constexpr std::uint64_t HighestTerm = (1ULL << TermBits) - 1;
-/** Steps of a day, about: a refusal that no clock's step back by less explains is not overtaken. */
-constexpr std::uint64_t LongestLeap = 1ULL << 20U;
+/** Largest single increment, about the number of steps in a day. A refusal that a clock set back by less than a day
+ * doesn't explain raises the step no further. */
+constexpr std::uint64_t MaxSkip = 1ULL << 20U;
 
 }  // namespace
 }  // namespace internal
@@ -29,9 +30,9 @@
 }
 
 void Fence::overtake() {
-  if (m_leap > internal::LongestLeap) return;
-  m_step += m_leap;
-  m_leap *= 2;
+  if (m_skip > internal::MaxSkip) return;
+  m_step += m_skip;
+  m_skip *= 2;
 }
 
 std::uint64_t Fence::token(std::uint64_t step, std::uint64_t term) {
--- a/Courseloom/src/Agent/Fence.h
+++ b/Courseloom/src/Agent/Fence.h
@@ -8,26 +8,28 @@
 namespace courseloom {
 
 /** \class Fence
- * \brief The fencing tokens of one agent's calls: they rise with each life of the target and, within a life, with the
- * leader's term.
+ * \brief Fencing tokens for the calls of one agent. Tokens rise with each incarnation of the target and, within an
+ * incarnation, with the leader's term.
  *
- * A target does nothing for a lower token than it has seen. A call that was meant for a former life, and is carried out
- * late, may reach the next life under the same identity; once that has seen the token of its own step, such a call does
- * nothing, under whatever term it was made. An agent keeps nothing on disk, so that steps are counted from the time of
- * day: a restarted agent's are above those that it gave before. \sa TargetLife
+ * A target refuses a call whose token is lower than one that it has seen. A delayed call to a former incarnation may
+ * reach the next incarnation under the same identity. The target refuses such a call, whatever its term, as soon as the
+ * new incarnation has seen the token of its own step. An agent stores nothing on disk, so it derives steps from the
+ * time of day; after a restart its steps are higher than those that it used before. \sa TargetLife
  */
 class Fence {
  public:
-  /** \returns a step above all former ones. \param nowMs time of day, ms since 1970 */
+  /** \returns a step above all previous ones. \param nowMs time of day, ms since 1970 */
   std::uint64_t raise(std::uint64_t nowMs);
-  /** After a refusal for a lower token: the time of day went back while the agent was restarted. */
+  /** Raises the step after the target refused a token as too low: the time of day was set back while the agent was
+   * restarted. The increment doubles with each refusal; beyond about a day the step stays. */
   void overtake();
-  /** \returns the token of a call to the life that began with a step, under a term. */
+  /** \returns the token of a call to an incarnation whose fence step is known. \param term the leader's term; terms
+   * above 20 bits count as the highest */
   static std::uint64_t token(std::uint64_t step, std::uint64_t term);
 
  private:
   std::uint64_t m_step = 0;
-  std::uint64_t m_leap = 1;  ///< by how much the next refusal raises
+  std::uint64_t m_skip = 1;  ///< increment of the step at the next refusal
 };
 
 }  // namespace courseloom
--- a/Courseloom/src/Agent/FillerPacer.cpp
+++ b/Courseloom/src/Agent/FillerPacer.cpp
@@ -10,7 +10,7 @@
 namespace internal {
 namespace {
 
-constexpr std::uint32_t WholePace = 100;
+constexpr std::uint32_t FullSpeedPercent = 100;
 
 const RunTraits* traits_of(const schema::RunReport& row, const std::map<RunKey, RunTraits>& traits) {
   const auto found = traits.find(runKeyOf(row.task(), row.run()));
@@ -32,12 +32,12 @@
   return fills && serves;
 }
 
-std::uint32_t FillerPacer::nextPercent(std::uint32_t percent, double worst) const {
-  if (worst > m_options.yieldAbove) {
+std::uint32_t FillerPacer::nextPercent(std::uint32_t percent, double worstTail) const {
+  if (worstTail > m_options.slowDownAbove) {
     const std::uint32_t half = percent / 2;
-    return half < m_options.leastPercent ? 0 : half;
+    return half < m_options.minPercent ? 0 : half;
   }
-  if (worst < m_options.returnBelow) return std::min(internal::WholePace, percent + m_options.stepPercent);
+  if (worstTail < m_options.speedUpBelow) return std::min(internal::FullSpeedPercent, percent + m_options.stepPercent);
   return percent;
 }
 
@@ -45,24 +45,24 @@
                                             const std::map<RunKey, RunTraits>& traits, Time now) {
   std::vector<PaceChange> changes;
   if (m_changed != Time{} && now < m_changed + m_options.interval) return changes;
-  double worst = 0.0;
+  double worstTail = 0.0;
   std::map<RunKey, std::uint32_t> percents;
   for (const schema::RunReport& row : rows) {
     const RunTraits* known = internal::traits_of(row, traits);
     if (known == nullptr) continue;
     const RunKey key = runKeyOf(row.task(), row.run());
     if (known->latencyTargetMs > 0) {
-      worst = std::max(worst, static_cast<double>(row.usage()) / known->latencyTargetMs);
+      worstTail = std::max(worstTail, static_cast<double>(row.usage()) / known->latencyTargetMs);
     } else if (known->filler) {
       const auto paced = m_percents.find(key);
-      percents[key] = paced == m_percents.end() ? internal::WholePace : paced->second;
+      percents[key] = paced == m_percents.end() ? internal::FullSpeedPercent : paced->second;
     }
   }
   for (auto& [key, percent] : percents) {
-    const std::uint32_t next = nextPercent(percent, worst);
-    // One that is new here may have been paced by this agent's former life: it is told its pace once.
-    const bool told = m_percents.count(key) > 0;
-    if (next == percent && told) continue;
+    const std::uint32_t next = nextPercent(percent, worstTail);
+    // A former incarnation of this agent may have paced a filler that is new here, so each filler gets its pace once.
+    const bool alreadySent = m_percents.count(key) > 0;
+    if (next == percent && alreadySent) continue;
     percent = next;
     changes.push_back({key, next});
     m_changed = now;
--- a/Courseloom/src/Agent/FillerPacer.h
+++ b/Courseloom/src/Agent/FillerPacer.h
@@ -13,16 +13,16 @@
 namespace courseloom {
 
 /** \class RunTraits
- * \brief What an agent has to know of a run beside its name, to share its target well.
+ * \brief Properties of a run by which an agent shares its target among runs.
  */
 struct RunTraits {
-  bool filler = false;                ///< takes what others leave unused
-  std::uint32_t latencyTargetMs = 0;  ///< tail latency that a serving run has to keep; 0 is none
-  Room need;                          ///< what it takes of its target
+  bool filler = false;                ///< uses only resources that other runs leave unused
+  std::uint32_t latencyTargetMs = 0;  ///< tail latency that a serving run must not exceed, ms; 0 for none
+  Room need;                          ///< the run's demand on its target
 };
 
 /** \class PaceChange
- * \brief A run is to work at another share of its speed, percent.
+ * \brief A new pace for a run: the share of its full speed at which it works, percent.
  */
 struct PaceChange {
   RunKey run;
@@ -30,39 +30,40 @@
 };
 
 /** \class FillerPacerOptions
- * \brief When fillers give way and when they come back; shares are of a serving run's latency target.
+ * \brief Thresholds for slowing fillers down and speeding them up, as shares of a serving run's latency target.
  */
 struct FillerPacerOptions {
-  double yieldAbove = 0.9;    ///< a tail above this share halves the pace of all fillers
-  double returnBelow = 0.65;  ///< all tails below this share let them work more
-  std::uint32_t stepPercent = 10;
-  std::uint32_t leastPercent = 5;         ///< below this they stand still
-  Duration interval = milliseconds(600);  ///< between changes: the figures are of the last half second
+  double slowDownAbove = 0.9;             ///< a tail latency above this share halves the pace of all fillers
+  double speedUpBelow = 0.65;             ///< all tail latencies below this share raise the pace of all fillers
+  std::uint32_t stepPercent = 10;         ///< by how much one change raises a pace
+  std::uint32_t minPercent = 5;           ///< a pace that would fall below this becomes 0: the filler stops working
+  Duration interval = milliseconds(600);  ///< minimum time between changes; tails cover the last half second
 };
 
 /** \class FillerPacer
- * \brief Paces the fillers on one target by the tails of what serves beside them: halved at once, back in steps
- * (additive increase, multiplicative decrease: Chiu and Jain, 1989).
+ * \brief Sets the pace of the fillers on one target by the tail latencies of the serving runs there: additive increase,
+ * multiplicative decrease (Chiu and Jain, 1989).
  *
- * A plain class without clock, input or output.
+ * A high tail latency halves the pace at once; low ones raise it again in steps. The class uses no clock and does no
+ * input or output.
  */
 class FillerPacer {
  public:
   explicit FillerPacer(FillerPacerOptions options = {}) : m_options(options) {}
 
-  /** \param rows what runs, as the target reports it \param traits of the runs that are known \returns changes to order
-   */
+  /** \param rows running runs as the target reports them \param traits properties of the known runs; others are ignored
+   * \returns the changes to send to the target */
   std::vector<PaceChange> decide(const std::vector<schema::RunReport>& rows, const std::map<RunKey, RunTraits>& traits,
                                  Time now);
-  /** \returns whether fillers and serving runs share the target, so that it has to be watched closely. */
+  /** \returns whether fillers and serving runs share the target, so that it has to be polled more often. */
   static bool watches(const std::vector<schema::RunReport>& rows, const std::map<RunKey, RunTraits>& traits);
 
  private:
-  std::uint32_t nextPercent(std::uint32_t percent, double worst) const;
+  std::uint32_t nextPercent(std::uint32_t percent, double worstTail) const;
 
   FillerPacerOptions m_options;
-  std::map<RunKey, std::uint32_t> m_percents;  ///< of fillers that were paced; others work at 100
-  Time m_changed{};
+  std::map<RunKey, std::uint32_t> m_percents;  ///< paces of the fillers paced so far; others work at 100
+  Time m_changed{};                            ///< when a pace was last changed; zero before the first change
 };
 
 }  // namespace courseloom
--- a/Courseloom/src/Agent/ProgressWatch.cpp
+++ b/Courseloom/src/Agent/ProgressWatch.cpp
@@ -10,21 +10,22 @@
 namespace internal {
 namespace {
 
-/** A run that has not moved for this long is told of at once. A sound one moves with each hundredth of its work. */
-constexpr Duration StillTold = milliseconds(600);
-/** Longest time between two looks that counts as standing still: in a longer one the machine was suspended, or nobody
- * could look. */
-constexpr Duration LongestGap = milliseconds(1000);
+/** A run without progress for this long is reported at once. A healthy run progresses with each hundredth of its work.
+ */
+constexpr Duration ReportStillAfter = milliseconds(600);
+/** Longest time between two polls that counts as time without progress. In a longer gap the machine was suspended or
+ * the target could not be polled. */
+constexpr Duration MaxPollGap = milliseconds(1000);
 
 }  // namespace
 }  // namespace internal
 
 bool ProgressWatch::note(std::vector<schema::RunReport>& running, Time now) {
   std::map<RunKey, Progress> progress;
-  bool news = false;
-  const Duration gap = m_notedAt == Time{} ? Duration(0) : now - m_notedAt;
-  const Duration unseen = std::max(Duration(0), gap - internal::LongestGap);
-  m_notedAt = now;
+  bool reportNow = false;
+  const Duration gap = m_polledAt == Time{} ? Duration(0) : now - m_polledAt;
+  const Duration unseen = std::max(Duration(0), gap - internal::MaxPollGap);
+  m_polledAt = now;
   for (schema::RunReport& row : running) {
     const RunKey key = runKeyOf(row.task(), row.run());
     const auto before = m_progress.find(key);
@@ -33,12 +34,12 @@
     entry = moved ? Progress{row.percent(), now, false} : before->second;
     if (!moved) entry.since += unseen;
     row.set_still_ms(static_cast<std::uint32_t>(toMilliseconds(now - entry.since)));
-    if (entry.told || now < entry.since + internal::StillTold) continue;
-    entry.told = true;
-    news = true;
+    if (entry.reported || now < entry.since + internal::ReportStillAfter) continue;
+    entry.reported = true;
+    reportNow = true;
   }
   m_progress = std::move(progress);
-  return news;
+  return reportNow;
 }
 
 }  // namespace courseloom
--- a/Courseloom/src/Agent/ProgressWatch.h
+++ b/Courseloom/src/Agent/ProgressWatch.h
@@ -11,25 +11,25 @@
 namespace courseloom {
 
 /** \class ProgressWatch
- * \brief Measures how long each run on a target has stood still.
+ * \brief Measures for how long each run on a target has made no progress.
  *
- * The agent sees each run every look, the leader only as often as reports come; so it is measured here. A plain class
- * without clock.
+ * The agent measures this because it sees each run at every poll, while the leader sees it only with each report. The
+ * class uses no clock.
  */
 class ProgressWatch {
  public:
-  /** Takes a look in, and writes into each row how long its run has stood still.
-   * \returns whether a run has now stood still for so long that the leader should hear of it at once */
+  /** Evaluates the result of a poll and sets still_ms in each row: the time without progress, ms.
+   * \returns whether a run has reached the time without progress at which it is reported to the leader at once */
   bool note(std::vector<schema::RunReport>& running, Time now);
 
  private:
   struct Progress {
-    std::uint32_t percent = 0;
-    Time since{};       ///< when it was first seen at this percent
-    bool told = false;  ///< the leader was told that it stands still
+    std::uint32_t percent = 0;  ///< progress of the run
+    Time since{};               ///< when the run was first seen at this percent, plus gaps that do not count
+    bool reported = false;      ///< the leader was notified of the lack of progress
   };
-  std::map<RunKey, Progress> m_progress;  ///< of what runs
-  Time m_notedAt{};                       ///< of the newest look; zero is none
+  std::map<RunKey, Progress> m_progress;  ///< of the runs in the newest poll
+  Time m_polledAt{};                      ///< time of the newest poll; zero before the first
 };
 
 }  // namespace courseloom
--- a/Courseloom/src/Agent/ReportedTarget.cpp
+++ b/Courseloom/src/Agent/ReportedTarget.cpp
@@ -10,19 +10,19 @@
   if (m_version == 0 || bytes != m_bytes) ++m_version;
   m_bytes = std::move(bytes);
   report.set_target_version(m_version);
-  const bool known = m_takenVersion == m_version && m_takenTerm == report.term();
+  const bool known = m_acknowledgedVersion == m_version && m_acknowledgedTerm == report.term();
   if (!known) *report.mutable_target() = target;
 }
 
 void ReportedTarget::answered(const schema::AttendRequest& report, const schema::AttendReply& reply) {
   if (reply.term() != report.term()) return;
   if (reply.whole_wanted()) {
-    m_takenVersion = 0;
+    m_acknowledgedVersion = 0;
     return;
   }
   if (reply.target_version() != report.target_version()) return;
-  m_takenVersion = reply.target_version();
-  m_takenTerm = reply.term();
+  m_acknowledgedVersion = reply.target_version();
+  m_acknowledgedTerm = reply.term();
 }
 
 }  // namespace courseloom
--- a/Courseloom/src/Agent/ReportedTarget.h
+++ b/Courseloom/src/Agent/ReportedTarget.h
@@ -11,23 +11,23 @@
 namespace courseloom {
 
 /** \class ReportedTarget
- * \brief Leaves the description of a target out of an agent's reports while the leader has it.
+ * \brief Omits the description of a target from an agent's reports while the leader has it.
  *
- * A leader that has taken a description in says so by its number. The next leader, and one that asks for it, is told
- * everything again; a leader that names no number always is. \sa RunLedger::complete
+ * A leader acknowledges a description by its version. A new leader, and a leader that asks for a whole report, gets the
+ * full description again; a leader that acknowledges no version gets it in every report. \sa RunLedger::complete
  */
 class ReportedTarget {
  public:
-  /** Puts the description into a report that carries its term already, or the number alone. */
+  /** Adds the description, or its version alone, to a report. The term of the report must be set already. */
   void put(schema::AttendRequest& report, const schema::TargetReport& target);
-  /** Takes the answer to a report in. */
+  /** Applies the reply to a report. */
   void answered(const schema::AttendRequest& report, const schema::AttendReply& reply);
 
  private:
-  std::string m_bytes;               ///< of the description as it was put last
-  std::uint64_t m_version = 0;       ///< of it
-  std::uint64_t m_takenVersion = 0;  ///< that a leader has ...
-  std::uint64_t m_takenTerm = 0;     ///< ... in this term
+  std::string m_bytes;                      ///< newest description, serialised
+  std::uint64_t m_version = 0;              ///< version of the newest description; 0 before the first
+  std::uint64_t m_acknowledgedVersion = 0;  ///< version that a leader has acknowledged; 0 for none
+  std::uint64_t m_acknowledgedTerm = 0;     ///< term of the leader that acknowledged it
 };
 
 }  // namespace courseloom
--- a/Courseloom/src/Agent/RunAgentLives.cpp
+++ b/Courseloom/src/Agent/RunAgentLives.cpp
@@ -1,7 +1,7 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// The lives of the target beside an agent: what it announces, and which announcements are believed.
+// Incarnations of the target beside an agent: announcements, their confirmation by polls, and losses of runs.
 
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
@@ -16,13 +16,13 @@
 namespace internal {
 namespace {
 
-/** Lives that are asked for at once: a target's former lives whose heartbeats a cut can hold back, with room to spare.
- */
-constexpr std::size_t MostAnnounced = 8;
-/** Before a life that has not answered is asked for again; such calls stay on the target's own machine. */
+/** Limit of the announced incarnations waiting to be confirmed. It is well above the number of former incarnations
+ * whose heartbeats a network partition can delay. */
+constexpr std::size_t MaxAnnounced = 8;
+/** Pause before an incarnation that has not answered is polled again. Such calls do not leave the target's machine. */
 constexpr Duration ConfirmPause = milliseconds(150);
-/** A target that crashes within this time after a run was ordered crashes at its start. */
-constexpr Duration CrashAtStartWithin = milliseconds(500);
+/** A target that crashes within this time after the start call of a run has crashed at the start of that run. */
+constexpr Duration CrashAtStartLimit = milliseconds(500);
 
 }  // namespace
 }  // namespace internal
@@ -32,76 +32,79 @@
 }
 
 Awaitable<void> RunAgentService::announceOnStrand(TargetAnnouncement announcement) {
-  takeAnnouncement(announcement);
+  handleAnnouncement(announcement);
   co_return;
 }
 
-void RunAgentService::takeAnnouncement(const TargetAnnouncement& announcement) {
+void RunAgentService::handleAnnouncement(const TargetAnnouncement& announcement) {
   const std::string& life = announcement.report.id();
-  if (!isLife(life)) return takeOtherLife(announcement);
-  if (announcement.sequence <= m_life->sequence) return;
-  const schema::TargetReport before = m_life->report;
-  takeWord(announcement);
+  if (!isCurrentIncarnation(life)) return recordOtherIncarnation(announcement);
+  if (announcement.sequence <= m_target->sequence) return;
+  const schema::TargetReport before = m_target->report;
+  applyAnnouncement(announcement);
   const bool resized = roomOf(before.capacity()) != roomOf(announcement.report.capacity());
-  if (resized) tellRoom(before);
-  if (resized || before.draining() != announcement.report.draining()) news();
+  if (resized) logResize(before);
+  if (resized || before.draining() != announcement.report.draining()) notifyPendingChanges();
 }
 
-/** Tells of a room that has become another. \param before what the target said of itself until then */
-void RunAgentService::tellRoom(const schema::TargetReport& before) const {
+/** Logs a change of the target's capacity. \param before the previous description of the target */
+void RunAgentService::logResize(const schema::TargetReport& before) const {
   const Room former = roomOf(before.capacity());
-  const Room room = roomOf(m_life->report.capacity());
+  const Room current = roomOf(m_target->report.capacity());
   const auto number = [](std::int64_t amount) { return static_cast<std::uint64_t>(amount); };
-  logEvent(schema::TargetResized, {{"target", m_life->report.id()},
-                                   {"accelerators", number(room.accelerators)},
-                                   {"cpuMilli", number(room.cpuMilli)},
-                                   {"memoryMb", number(room.memoryMb)},
+  logEvent(schema::TargetResized, {{"target", m_target->report.id()},
+                                   {"accelerators", number(current.accelerators)},
+                                   {"cpuMilli", number(current.cpuMilli)},
+                                   {"memoryMb", number(current.memoryMb)},
                                    {"formerAccelerators", number(former.accelerators)},
                                    {"formerCpuMilli", number(former.cpuMilli)},
                                    {"formerMemoryMb", number(former.memoryMb)}});
 }
 
-/** Takes in what the present life says of itself. */
-void RunAgentService::takeWord(const TargetAnnouncement& announcement) {
-  const bool leaves = announcement.report.draining() && !m_life->report.draining();
-  if (leaves) logEvent(schema::TargetLeaving, {{"target", announcement.report.id()}});
-  m_life->report = announcement.report;
-  m_life->report.set_reachable(m_life->failures < FailuresUnreachable);
-  m_life->sequence = announcement.sequence;
-  takeClock(announcement.clockMs);
+/** Applies an announcement of the current incarnation. */
+void RunAgentService::applyAnnouncement(const TargetAnnouncement& announcement) {
+  const bool beginsDraining = announcement.report.draining() && !m_target->report.draining();
+  if (beginsDraining) logEvent(schema::TargetLeaving, {{"target", announcement.report.id()}});
+  m_target->report = announcement.report;
+  m_target->report.set_reachable(m_target->failures < UnreachableAfterFailures);
+  m_target->sequence = announcement.sequence;
+  recordClock(announcement.clockMs);
 }
 
-void RunAgentService::takeOtherLife(const TargetAnnouncement& announcement) {
+/** Records the announcement of an incarnation other than the current one, to be confirmed by a poll. */
+void RunAgentService::recordOtherIncarnation(const TargetAnnouncement& announcement) {
   const std::string& life = announcement.report.id();
   const auto found = m_announced.find(life);
   if (found != m_announced.end() && announcement.sequence <= found->second.sequence) return;
   if (found == m_announced.end()) {
-    if (m_announced.size() >= internal::MostAnnounced) return;
-    logEvent(schema::TargetAnnounced,
-             {{"target", life}, {"present", m_life ? m_life->report.id() : ""}, {"sequence", announcement.sequence}});
+    if (m_announced.size() >= internal::MaxAnnounced) return;
+    logEvent(
+        schema::TargetAnnounced,
+        {{"target", life}, {"present", m_target ? m_target->report.id() : ""}, {"sequence", announcement.sequence}});
   }
   m_announced[life] = announcement;
   m_announcedSignal.notify();
 }
 
-/** Asks the target for each life that was announced, one call at a time, so that lives are believed in the order in
- * which the target has had them. */
+/** Polls the target for each announced incarnation. Only one poll is in progress at a time, so that incarnations become
+ * current in the order in which the target has had them. */
 Awaitable<void> RunAgentService::confirmLoop() {
   while (true) {
     while (m_announced.empty()) co_await m_announcedSignal.wait(BootClock::now() + milliseconds(60000));
-    std::vector<std::string> lives;
-    for (const auto& [life, announcement] : m_announced) lives.push_back(life);
-    for (const std::string& life : lives) co_await confirm(life);
+    std::vector<std::string> incarnations;
+    for (const auto& [life, announcement] : m_announced) incarnations.push_back(life);
+    for (const std::string& life : incarnations) co_await confirm(life);
     if (!m_announced.empty()) co_await sleepFor(internal::ConfirmPause);
   }
 }
 
-/** A refusal does not say which life refuses, and silence says nothing: the life is asked for again. Whichever life
- * answers was there after the announcement had come, so that an announced one that does not answer is over, whatever
- * the clocks say that their births were set by. */
+/** Polls for one announced incarnation. A refusal does not name the refusing incarnation and a missing answer shows
+ * nothing, so both lead to another poll. The answering incarnation was running after the announcement had arrived. If
+ * it is not the announced one, the announced one has ended, whatever start times the clocks gave them. */
 Awaitable<void> RunAgentService::confirm(std::string life) {
-  // The answer's lists then hold all that calls for a former life can ever have begun in this one.
-  const std::uint64_t step = raiseFence();
+  // After this step the target refuses calls meant for a former incarnation, so the lists in the answer are complete:
+  // they hold all runs that such calls can ever have begun in this incarnation.
+  const std::uint64_t step = nextFenceStep();
   TargetHold hold;
   hold.token = Fence::token(step, m_term);
   Result<TargetAnswer> answer =
@@ -109,63 +112,66 @@
   if (answer && answer->fenced) m_fence.overtake();
   const auto found = m_announced.find(life);
   if (!answer || answer->verdict == TargetVerdict::Refused || found == m_announced.end()) co_return;
-  const bool taken = answer->verdict == TargetVerdict::Taken;
-  if (taken && answer->life == life) {
-    beginLife(found->second);
-    m_life->step = step;
-    takeLook(*answer, BootClock::now());
+  const bool accepted = answer->verdict == TargetVerdict::Taken;
+  if (accepted && answer->life == life) {
+    beginIncarnation(found->second);
+    m_target->step = step;
+    applyPoll(*answer, BootClock::now());
   } else {
-    if (taken && isLife(answer->life)) m_life->step = std::max(m_life->step, step);
-    logEvent(schema::TargetDisowned, {{"target", life}, {"present", m_life ? m_life->report.id() : ""}});
+    if (accepted && isCurrentIncarnation(answer->life)) m_target->step = std::max(m_target->step, step);
+    logEvent(schema::TargetDisowned, {{"target", life}, {"present", m_target ? m_target->report.id() : ""}});
   }
   m_announced.erase(found);
 }
 
-/** What ran in the former life ended with it; the leader concludes that from the new life's name and lists. */
-void RunAgentService::beginLife(const TargetAnnouncement& announcement) {
+/** Makes an incarnation current. Runs of the former one ended with it; the leader concludes this from the name and the
+ * lists of the new one. */
+void RunAgentService::beginIncarnation(const TargetAnnouncement& announcement) {
   const std::string& life = announcement.report.id();
   logEvent(schema::TargetRegistered,
-           {{"target", life}, {"former", m_life ? m_life->report.id() : ""}, {"sequence", announcement.sequence}});
-  for (const auto& [key, run] : m_runs) noteLost(key, schema::RunTargetLost);
-  m_life = Life();
-  takeWord(announcement);
+           {{"target", life}, {"former", m_target ? m_target->report.id() : ""}, {"sequence", announcement.sequence}});
+  for (const auto& [key, run] : m_runs) recordLost(key, schema::RunTargetLost);
+  m_target = TargetState();
+  applyAnnouncement(announcement);
   m_runs.clear();
   m_traits.clear();
-  m_fates.clear();
+  m_outcomes.clear();
   m_started.clear();
-  // A former life of this agent may have had the target hold its runs for as long as it can.
-  m_heldUntil = BootClock::now() + milliseconds(m_context.settings.runner().max_hold_ms());
-  news();
-  m_lifeSignal.notify();
+  // A former incarnation of this agent may have requested holds up to the maximum.
+  m_holdsEndBy = BootClock::now() + milliseconds(m_context.settings.runner().max_hold_ms());
+  notifyPendingChanges();
+  m_targetSignal.notify();
 }
 
-/** The first call that a dead process leaves unanswered follows its death by a moment: looks wait at the target. */
-RunAgentService::CrashSight RunAgentService::crashUnder(const RunKey& key) const {
-  if (m_life->report.draining() || m_life->left) return {};
-  const auto ordered = m_life->orderedAt.find(key);
-  if (m_life->missedAt == Time{} || ordered == m_life->orderedAt.end()) return {schema::CrashUnclear, {}};
-  if (ordered->second > m_life->missedAt) return {};  // it had gone before
-  const Duration after = m_life->missedAt - ordered->second;
-  if (after > internal::CrashAtStartWithin) return {schema::CrashUnclear, after};
+/** \returns whether a run crashed the target, as far as the times of calls show. The first unanswered call follows the
+ * crash of a process almost at once, since polls wait at the target. */
+RunAgentService::CrashEvidence RunAgentService::crashEvidenceOf(const RunKey& key) const {
+  if (m_target->report.draining() || m_target->deregistered) return {};
+  const auto ordered = m_target->orderedAt.find(key);
+  if (m_target->unansweredSince == Time{} || ordered == m_target->orderedAt.end()) return {schema::CrashUnclear, {}};
+  if (ordered->second > m_target->unansweredSince) return {};  // the target was lost before the start call
+  const Duration after = m_target->unansweredSince - ordered->second;
+  if (after > internal::CrashAtStartLimit) return {schema::CrashUnclear, after};
   const auto justStarted = [&](const auto& other) {
-    return other.second <= m_life->missedAt && m_life->missedAt - other.second <= StartPhase;
+    return other.second <= m_target->unansweredSince && m_target->unansweredSince - other.second <= StartPhase;
   };
-  const auto starts = std::count_if(m_life->orderedAt.begin(), m_life->orderedAt.end(), justStarted);
+  const auto starts = std::count_if(m_target->orderedAt.begin(), m_target->orderedAt.end(), justStarted);
   return {starts > 1 ? schema::CrashAmongStarts : schema::CrashAtStart, after};
 }
 
-/** A target that stays silent may have crashed for good: only a silence that began with the run accuses it. */
-void RunAgentService::noteLost(const RunKey& key, schema::RunEndKind kind) {
+/** Records the loss of a run to report it. A target that stays silent may have crashed for good; then the run counts as
+ * the cause only if the silence began with its start. */
+void RunAgentService::recordLost(const RunKey& key, schema::RunEndKind kind) {
   if (kind != schema::RunTargetLost && kind != schema::RunLapsed) return;
   const auto run = m_runs.find(key);
-  const bool neverBegan = run != m_runs.end() && run->second.neverBegan;
-  CrashSight sight = neverBegan ? CrashSight{} : crashUnder(key);
-  if (kind == schema::RunLapsed && sight.kind == schema::CrashUnclear) sight.kind = schema::NoCrash;
+  const bool neverStarted = run != m_runs.end() && run->second.neverStarted;
+  CrashEvidence evidence = neverStarted ? CrashEvidence{} : crashEvidenceOf(key);
+  if (kind == schema::RunLapsed && evidence.kind == schema::CrashUnclear) evidence.kind = schema::NoCrash;
   schema::LostRun& lost = m_lost[key];
   *lost.mutable_task() = makeTaskId(key.workflow, key.task);
   lost.set_run(key.run);
-  lost.set_crash(sight.kind);
-  lost.set_after_ms(static_cast<std::uint32_t>(toMilliseconds(sight.after)));
+  lost.set_crash(evidence.kind);
+  lost.set_after_ms(static_cast<std::uint32_t>(toMilliseconds(evidence.after)));
 }
 
 Awaitable<void> RunAgentService::leave(std::string life) {
@@ -173,7 +179,7 @@
 }
 
 Awaitable<void> RunAgentService::leaveOnStrand(std::string life) {
-  if (isLife(life)) m_life->left = true;
+  if (isCurrentIncarnation(life)) m_target->deregistered = true;
   m_announced.erase(life);
   co_return;
 }
--- a/Courseloom/src/Agent/RunAgentService.cpp
+++ b/Courseloom/src/Agent/RunAgentService.cpp
@@ -17,22 +17,26 @@
 namespace internal {
 namespace {
 
-/** A target's clock may run this much slower than ours: it is counted on to show 98 ms for each 100 ms of ours. */
+/** The target's clock may run slower than the agent's. The agent assumes that it advances by at least 98 ms in each
+ * 100 ms. */
 constexpr std::int64_t SlowClockNumerator = 98;
 constexpr std::int64_t SlowClockDenominator = 100;
-/** Taken off each hold, so that it surely ends before the leader's grant does. */
+/** Subtracted from the end of each hold, so that the hold ends before the lease does. */
 constexpr Duration HoldMargin = milliseconds(50);
-/** Added before holds count as over. */
+/** Added to the end of the latest hold before the runs of a silent target count as lapsed. */
 constexpr Duration LapseSlack = milliseconds(200);
+/** Pause after a call that failed. */
 constexpr Duration FailedPause = milliseconds(150);
-/** Before a refused stop is sent again: a refusal comes at once, and a run in doubt holds up its whole gang. Doubled
- * with each refusal up to the longest, since the target may be overloaded. */
+/** Pause before a refused stop is retried. It is short because a refusal arrives at once and a run in doubt delays its
+ * whole gang. It doubles with each refusal up to the maximum, since the target may be overloaded. */
 constexpr Duration RefusedPause = milliseconds(50);
-constexpr Duration LongestRefusedPause = milliseconds(400);
+constexpr Duration MaxRefusedPause = milliseconds(400);
+/** Longest wait before the next poll while the target lists uncommitted ends; such polls are answered at once. */
 constexpr Duration UncommittedPause = milliseconds(250);
+/** How long a stopping agent waits for its calls in progress. */
 constexpr Duration StopLimit = milliseconds(700);
-/** Longest wait of a look while fillers share the target with what serves, ms. */
-constexpr std::uint32_t SharingLookMs = 400;
+/** Longest wait of a poll while fillers share the target with serving runs, ms. */
+constexpr std::uint32_t SharedPollMs = 400;
 
 std::uint64_t random_incarnation() {
   std::random_device device;
@@ -42,23 +46,24 @@
 }  // namespace
 }  // namespace internal
 
-RunAgentService::RunAgentService(const DaemonContext& context, RunAgentEdges edges)
+RunAgentService::RunAgentService(const DaemonContext& context, RunAgentEdges protocol)
     : m_context(context),
-      m_edges(std::move(edges)),
+      m_protocol(std::move(protocol)),
       m_strand(asio::make_strand(context.io)),
       m_control(context.io, context.settings.cluster()),
-      m_relay(context.io, context.settings.cluster(), [this] { return inTouch(); }),
-      m_port(m_edges.makePort(context)),
-      m_registration(
-          context.io, HttpLimits(),
-          [this](HttpRequest request, std::string) { return m_edges.answerRegistration(std::move(request), *this); }),
+      m_relay(context.io, context.settings.cluster(), [this] { return canRelay(); }),
+      m_port(m_protocol.makePort(context)),
+      m_registration(context.io, HttpLimits(),
+                     [this](HttpRequest request, std::string) {
+                       return m_protocol.answerRegistration(std::move(request), *this);
+                     }),
       m_http(context.io, HttpLimits(),
              [this](HttpRequest request, std::string) -> Awaitable<HttpResponse> {
                std::optional<HttpResponse> admin = answerAdmin(request, m_following, m_context.metrics);
                if (admin) co_return std::move(*admin);
                co_return problemResponse(Failure{FailureCode::NotFound, Ran::No, "route", "", "no such path", 0});
              }),
-      m_incarnation(internal::random_incarnation()),
+      m_agentIncarnation(internal::random_incarnation()),
       m_waitMs(context.settings.runner().attend_ms()) {}
 
 Result<Listening> RunAgentService::start() {
@@ -69,8 +74,8 @@
   BOOST_LEAF_ASSIGN(listening.httpPort, m_http.start(node.address(), node.http_port()));
   BOOST_LEAF_ASSIGN(listening.rpcPort, m_relay.start(node));
   asio::co_spawn(m_strand, attendLoop(), asio::detached);
-  asio::co_spawn(m_strand, newsLoop(), asio::detached);
-  asio::co_spawn(m_strand, lookLoop(), asio::detached);
+  asio::co_spawn(m_strand, pendingChangesLoop(), asio::detached);
+  asio::co_spawn(m_strand, pollLoop(), asio::detached);
   asio::co_spawn(m_strand, confirmLoop(), asio::detached);
   return listening;
 }
@@ -91,110 +96,111 @@
   co_return 0;
 }
 
-// ---- holding and looking
+// ---- holds and polls
 
-/** The target's clock may have stood while the machine was suspended, so that only the time awake counts for it.
- * \returns what that clock shows at an instant, at the least: what is held until then ends no later. */
+/** \returns a lower bound of what the target's clock shows at an instant, so that runs held until then end no later.
+ * The target's clock may have stopped while the machine was suspended, so that only the time awake counts. */
 std::uint64_t RunAgentService::deadlineOnTarget(Time until) const {
   const Time now = BootClock::now();
-  if (until <= now) return m_life->clockMs;
-  const auto awake = std::chrono::steady_clock::now() - m_life->clockAwakeAt;
-  const Duration sinceRead = std::min(now - m_life->clockAt, std::chrono::duration_cast<Duration>(awake));
+  if (until <= now) return m_target->clockMs;
+  const auto awake = std::chrono::steady_clock::now() - m_target->clockAwakeAt;
+  const Duration sinceRead = std::min(now - m_target->clockAt, std::chrono::duration_cast<Duration>(awake));
   const Duration ahead = until - now + sinceRead;
   const Duration shown = ahead * internal::SlowClockNumerator / internal::SlowClockDenominator;
-  return m_life->clockMs + static_cast<std::uint64_t>(toMilliseconds(shown));
+  return m_target->clockMs + static_cast<std::uint64_t>(toMilliseconds(shown));
 }
 
-/** Takes what the target's clock showed a moment ago. */
-void RunAgentService::takeClock(std::uint64_t clockMs) {
+/** Records a reading of the target's clock that has just arrived. \param clockMs 0 for no reading */
+void RunAgentService::recordClock(std::uint64_t clockMs) {
   if (clockMs == 0) return;
-  m_life->clockMs = clockMs;
-  m_life->clockAt = BootClock::now();
-  m_life->clockAwakeAt = std::chrono::steady_clock::now();
+  m_target->clockMs = clockMs;
+  m_target->clockAt = BootClock::now();
+  m_target->clockAwakeAt = std::chrono::steady_clock::now();
 }
 
-/** \returns the end of a hold that is asked for now: within the leader's grant, and no longer than a target holds. */
-Time RunAgentService::longestHold() const {
+/** \returns the end for a hold that is requested now: before the end of the lease, and at most max_hold_ms from now. */
+Time RunAgentService::latestHoldEnd() const {
   const Time limit = BootClock::now() + milliseconds(m_context.settings.runner().max_hold_ms());
-  return std::min(m_grantUntil, limit) - internal::HoldMargin;
+  return std::min(m_leaseUntil, limit) - internal::HoldMargin;
 }
 
-/** A target that does not answer gets no longer hold, so that it is known when everything there has ended. */
+/** \returns the deadline of the next hold on the target's clock, or none if the current one is not to be extended. The
+ * hold of a target that doesn't answer is not extended, so that the agent knows when all runs there have ended. */
 std::optional<std::uint64_t> RunAgentService::holdDeadline() {
-  if (!granted() || m_life->failures > 0 || m_life->clockMs == 0) return std::nullopt;
-  const Time until = longestHold();
-  m_heldUntil = std::max(m_heldUntil, until);
+  if (!hasLease() || m_target->failures > 0 || m_target->clockMs == 0) return std::nullopt;
+  const Time until = latestHoldEnd();
+  m_holdsEndBy = std::max(m_holdsEndBy, until);
   return deadlineOnTarget(until);
 }
 
-Awaitable<bool> RunAgentService::look(std::uint32_t waitMs) {
-  const std::string life = m_life->report.id();
+Awaitable<bool> RunAgentService::poll(std::uint32_t waitMs) {
+  const std::string life = m_target->report.id();
   TargetHold hold;
   hold.deadlineMs = holdDeadline();
-  // A call for this life must not carry a token that a successor may have been asked with, and a refusal does not say
-  // which life refuses: only the answer to a look brings the life a higher one.
-  const std::uint64_t step = m_life->fenced ? raiseFence() : m_life->step;
+  // Calls to this incarnation must not carry a token with which a successor may have been polled, and a refusal does
+  // not name the refusing incarnation. Therefore only the answer to a poll raises the step of this incarnation.
+  const std::uint64_t step = m_target->fenced ? nextFenceStep() : m_target->step;
   hold.token = Fence::token(step, m_term);
-  // After silence or an announcement another life may answer, whose first ends have the same numbers; it must not
-  // forget them.
-  hold.lastSeen = m_life->failures > 0 || !m_announced.empty() ? 0 : m_life->endsTaken;
+  // After an unanswered poll or an announcement another incarnation may answer. Its first ends have the same numbers,
+  // and it must not forget them.
+  hold.lastSeen = m_target->failures > 0 || !m_announced.empty() ? 0 : m_target->endsTaken;
   hold.waitMs = waitMs;
   const Duration limit = milliseconds(waitMs) + milliseconds(m_context.settings.runner().order_limit_ms());
   Result<TargetAnswer> answer = co_await m_port->hold(life, hold, limit);
-  if (!isLife(life)) co_return false;
-  const bool taken = answer && answer->verdict == TargetVerdict::Taken;
-  m_life->fenced = answer && answer->fenced;
-  if (m_life->fenced) m_fence.overtake();
-  if (taken && answer->life == life) {
-    m_life->step = std::max(m_life->step, step);
-    takeLook(*answer, BootClock::now());
+  if (!isCurrentIncarnation(life)) co_return false;
+  const bool accepted = answer && answer->verdict == TargetVerdict::Taken;
+  m_target->fenced = answer && answer->fenced;
+  if (m_target->fenced) m_fence.overtake();
+  if (accepted && answer->life == life) {
+    m_target->step = std::max(m_target->step, step);
+    applyPoll(*answer, BootClock::now());
     co_return true;
   }
-  if (taken) takeSuccessor(*answer);
+  if (accepted) handleSuccessor(*answer);
   if (answer && answer->verdict == TargetVerdict::OtherLife) {
-    endLife();
+    endIncarnation();
     co_return false;
   }
-  if (!answer) takeMiss();
-  takeSilence();
+  if (!answer) recordUnansweredCall();
+  recordFailedPoll();
   co_return false;
 }
 
-/** Another life answers under the same identity, so that the present one is over; but it may have begun runs that were
- * meant for the present one. It is taken in once it has announced itself. */
-void RunAgentService::takeSuccessor(const TargetAnswer& answer) {
-  closeTarget();
-  if (std::exchange(m_life->successor, answer.life) == answer.life) return;
-  logEvent(schema::TargetBornAgain, {{"target", m_life->report.id()},
+/** Handles an answer of another incarnation under the same identity. The current incarnation has ended. The successor
+ * may have begun runs that were meant for the current one. It becomes current after it has announced itself. */
+void RunAgentService::handleSuccessor(const TargetAnswer& answer) {
+  allowNoMoreFailures();
+  if (std::exchange(m_target->successor, answer.life) == answer.life) return;
+  logEvent(schema::TargetBornAgain, {{"target", m_target->report.id()},
                                      {"answers", answer.life},
                                      {"clockMs", answer.clockMs},
-                                     {"formerClockMs", m_life->clockMs},
-                                     {"endsTaken", m_life->endsTaken}});
+                                     {"formerClockMs", m_target->clockMs},
+                                     {"endsTaken", m_target->endsTaken}});
 }
 
-void RunAgentService::takeLook(const TargetAnswer& answer, Time receivedAt) {
-  if (m_life->failures >= FailuresUnreachable) {
+void RunAgentService::applyPoll(const TargetAnswer& answer, Time receivedAt) {
+  if (m_target->failures >= UnreachableAfterFailures) {
     logEvent(schema::TargetRegained, {{"target", answer.life}});
-    news();
+    notifyPendingChanges();
   }
-  m_life->failures = 0;
-  m_life->missedAt = Time{};
-  m_life->report.set_reachable(true);
-  takeClock(answer.clockMs);
-  m_life->running = answer.running;
-  m_life->moreEnds = answer.moreEnds;
-  m_life->lookedAt = receivedAt;
-  if (m_life->progress.note(m_life->running, receivedAt)) news();
+  m_target->failures = 0;
+  m_target->unansweredSince = Time{};
+  m_target->report.set_reachable(true);
+  recordClock(answer.clockMs);
+  m_target->running = answer.running;
+  m_target->moreEnds = answer.moreEnds;
+  m_target->polledAt = receivedAt;
+  if (m_target->progress.note(m_target->running, receivedAt)) notifyPendingChanges();
   for (const schema::RunReport& row : answer.running) {
     m_runs.try_emplace(runKeyOf(row.task(), row.run()));
   }
   for (const schema::EndReport& end : answer.ends) {
-    if (end.number() <= m_life->endsTaken) continue;
-    const bool added = m_life->ends.emplace(end.number(), end).second;
+    if (end.number() <= m_target->endsTaken) continue;
+    const bool added = m_target->ends.emplace(end.number(), end).second;
     m_runs.erase(runKeyOf(end.task(), end.run()));
     m_traits.erase(runKeyOf(end.task(), end.run()));
-    m_life->orderedAt.erase(runKeyOf(end.task(), end.run()));
-    if (added) news();
+    m_target->orderedAt.erase(runKeyOf(end.task(), end.run()));
+    if (added) notifyPendingChanges();
   }
   paceFillers();
 }
@@ -202,7 +208,7 @@
 // ---- sharing the target
 
 void RunAgentService::paceFillers() {
-  for (PaceChange& change : m_pacer.decide(m_life->running, m_traits, BootClock::now())) {
+  for (PaceChange& change : m_pacer.decide(m_target->running, m_traits, BootClock::now())) {
     asio::co_spawn(m_strand, paceRun(std::move(change)), asio::detached);
   }
 }
@@ -211,83 +217,88 @@
   const schema::TaskId task = makeTaskId(change.run.workflow, change.run.task);
   logEvent(schema::RunPaced, {{"task", taskText(task)}, {"percent", std::uint64_t{change.percent}}});
   Result<TargetAnswer> answer =
-      co_await m_port->pace(m_life->report.id(), task, change.run.run, change.percent, token(),
+      co_await m_port->pace(m_target->report.id(), task, change.run.run, change.percent, token(),
                             milliseconds(m_context.settings.runner().order_limit_ms()));
-  // A pace that did not arrive shows in the next tails, and is changed again then.
+  // If the target has not received the pace, the next tail latencies show it and the pace is changed again.
   if (!answer) logFailure(schema::PeerFailed, takeFailure(answer));
 }
 
-void RunAgentService::takeMiss() {
-  if (m_life->missedAt == Time{}) m_life->missedAt = BootClock::now();
+/** Records when the target first failed to answer a call since the last successful poll or start. */
+void RunAgentService::recordUnansweredCall() {
+  if (m_target->unansweredSince == Time{}) m_target->unansweredSince = BootClock::now();
 }
 
-/** The next silence makes the present life one that is out of reach. */
-void RunAgentService::closeTarget() { m_life->failures = std::max(m_life->failures, FailuresUnreachable - 1); }
+/** Makes the target unreachable with its next failed poll at the latest. */
+void RunAgentService::allowNoMoreFailures() {
+  m_target->failures = std::max(m_target->failures, UnreachableAfterFailures - 1);
+}
 
-/** Another identity answers, so that the present life is over and takes nothing more. */
-void RunAgentService::endLife() {
+/** Handles the answer that a target of another identity runs at the address: the current incarnation has ended. */
+void RunAgentService::endIncarnation() {
   settleAll(schema::RunTargetLost, "another life answers");
-  closeTarget();
-  takeSilence();
+  allowNoMoreFailures();
+  recordFailedPoll();
 }
 
-void RunAgentService::takeSilence() {
-  ++m_life->failures;
-  if (m_life->failures == FailuresUnreachable) {
-    logEvent(schema::TargetLost, {{"target", m_life->report.id()}});
-    m_life->report.set_reachable(false);
-    news();
+/** Counts a poll that the current incarnation has not answered. Its runs lapse after the end of the latest hold. */
+void RunAgentService::recordFailedPoll() {
+  ++m_target->failures;
+  if (m_target->failures == UnreachableAfterFailures) {
+    logEvent(schema::TargetLost, {{"target", m_target->report.id()}});
+    m_target->report.set_reachable(false);
+    notifyPendingChanges();
   }
-  if (BootClock::now() > m_heldUntil + internal::LapseSlack) settleAll(schema::RunLapsed, "the target is silent");
+  if (BootClock::now() > m_holdsEndBy + internal::LapseSlack) settleAll(schema::RunLapsed, "the target is silent");
 }
 
-Awaitable<void> RunAgentService::lookLoop() {
+Awaitable<void> RunAgentService::pollLoop() {
   while (true) {
-    if (!m_life) {
-      co_await m_lifeSignal.wait(BootClock::now() + milliseconds(1000));
+    if (!m_target) {
+      co_await m_targetSignal.wait(BootClock::now() + milliseconds(1000));
       continue;
     }
-    const bool uncommitted = !m_life->ends.empty();
-    const bool sharing = FillerPacer::watches(m_life->running, m_traits);
-    const std::uint32_t longest = sharing ? internal::SharingLookMs : m_context.settings.runner().look_ms();
-    const std::uint32_t waitMs = uncommitted || m_life->failures > 0 ? 0 : longest;
-    const bool answered = co_await look(waitMs);
+    const bool uncommitted = !m_target->ends.empty();
+    const bool sharing = FillerPacer::watches(m_target->running, m_traits);
+    const std::uint32_t longest = sharing ? internal::SharedPollMs : m_context.settings.runner().look_ms();
+    const std::uint32_t waitMs = uncommitted || m_target->failures > 0 ? 0 : longest;
+    const bool answered = co_await poll(waitMs);
     if (!answered) {
       co_await sleepFor(internal::FailedPause);
-    } else if (m_life && !m_life->ends.empty()) {
-      co_await m_lookSignal.wait(BootClock::now() + internal::UncommittedPause);
+    } else if (m_target && !m_target->ends.empty()) {
+      co_await m_pollSignal.wait(BootClock::now() + internal::UncommittedPause);
     }
   }
 }
 
 // ---- orders
 
-bool RunAgentService::listed(const RunKey& key) const {
+bool RunAgentService::isListed(const RunKey& key) const {
   const auto isKey = [&](const auto& row) { return runKeyOf(row.task(), row.run()) == key; };
-  if (std::any_of(m_life->running.begin(), m_life->running.end(), isKey)) return true;
-  return std::any_of(m_life->ends.begin(), m_life->ends.end(), [&](const auto& row) { return isKey(row.second); });
+  if (std::any_of(m_target->running.begin(), m_target->running.end(), isKey)) return true;
+  return std::any_of(m_target->ends.begin(), m_target->ends.end(), [&](const auto& row) { return isKey(row.second); });
 }
 
+/** Records the outcome of a run that the agent has determined, to be reported to the leader. */
 void RunAgentService::settle(const schema::TaskId& task, std::uint32_t run, schema::RunEndKind kind,
                              const std::string& reason) {
   const RunKey key = runKeyOf(task, run);
-  noteLost(key, kind);
-  Fate& fate = m_fates[key];
-  fate = Fate();
-  *fate.report.mutable_task() = task;
-  fate.report.set_run(run);
-  fate.report.set_kind(kind);
-  fate.report.set_reason(reason);
+  recordLost(key, kind);
+  RunOutcome& outcome = m_outcomes[key];
+  outcome = RunOutcome();
+  *outcome.report.mutable_task() = task;
+  outcome.report.set_run(run);
+  outcome.report.set_kind(kind);
+  outcome.report.set_reason(reason);
   logEvent(schema::RunSettled, {{"task", taskText(task)},
                                 {"run", std::uint64_t{run}},
                                 {"kind", schema::RunEndKind_Name(kind)},
                                 {"reason", reason},
-                                {"target", m_life->report.id()}});
+                                {"target", m_target->report.id()}});
   m_runs.erase(key);
   m_traits.erase(key);
-  // What never began ends no target.
-  if (kind == schema::RunVoided) m_life->orderedAt.erase(key);
-  news();
+  // A run that never began cannot have crashed the target.
+  if (kind == schema::RunVoided) m_target->orderedAt.erase(key);
+  notifyPendingChanges();
 }
 
 void RunAgentService::settleAll(schema::RunEndKind kind, const std::string& reason) {
@@ -295,62 +306,63 @@
   for (const auto& [key, run] : runs) settle(makeTaskId(key.workflow, key.task), key.run, kind, reason);
 }
 
-/** The room may have shrunk since the leader planned; not every target refuses what it has no room for.
- * \returns whether a run fits beside all that may be at the target, by the target's newest word on its capacity */
-bool RunAgentService::hasRoomFor(const schema::RunOrder& order) const {
-  if (!m_life->report.has_capacity() || !order.has_need()) return true;
+/** The capacity may have shrunk since the leader planned, and not every target refuses runs that exceed it.
+ * \returns whether a run fits beside all runs that may be at the target, by the newest capacity that it has announced
+ */
+bool RunAgentService::hasCapacityFor(const schema::RunOrder& order) const {
+  if (!m_target->report.has_capacity() || !order.has_need()) return true;
   const RunKey own = runKeyOf(order.task(), order.run());
-  Room room = roomOf(m_life->report.capacity());
+  Room freeCapacity = roomOf(m_target->report.capacity());
   for (const auto& [key, run] : m_runs) {
     if (key == own) continue;
     const auto traits = m_traits.find(key);
-    if (traits == m_traits.end()) return false;  // what it takes is told with the leader's next answer
-    room.subtract(traits->second.need);
+    if (traits == m_traits.end()) return false;  // the leader's next reply has the demand of this run
+    freeCapacity.subtract(traits->second.need);
   }
-  return room.holds(roomOf(order));
+  return freeCapacity.holds(roomOf(order));
 }
 
 Awaitable<void> RunAgentService::startRun(schema::RunOrder order) {
   const std::string life = order.target();
   const std::string name = taskText(order.task());
   const RunKey key = runKeyOf(order.task(), order.run());
-  if (m_life->report.draining() || m_life->left) {
-    // It may have run there all the same, under a former life of this agent: the target's lists tell.
+  if (m_target->report.draining() || m_target->deregistered) {
+    // A former incarnation of this agent may have started the run. stopRun() reads its outcome from the target's lists.
     logEvent(schema::RunRefused, {{"task", name}, {"run", std::uint64_t{order.run()}}, {"reason", "draining"}});
     co_await stopRun(std::move(order));
     co_return;
   }
-  if (!hasRoomFor(order)) {
+  if (!hasCapacityFor(order)) {
     logEvent(schema::RunRefused, {{"task", name}, {"run", std::uint64_t{order.run()}}, {"reason", "no room left"}});
     co_await stopRun(std::move(order));
     co_return;
   }
-  const Time until = longestHold();
-  m_heldUntil = std::max(m_heldUntil, until);
-  m_life->orderedAt[key] = BootClock::now();
+  const Time until = latestHoldEnd();
+  m_holdsEndBy = std::max(m_holdsEndBy, until);
+  m_target->orderedAt[key] = BootClock::now();
   const TargetStart start{order, deadlineOnTarget(until), token()};
   Result<TargetAnswer> answer =
       co_await m_port->start(life, start, milliseconds(m_context.settings.runner().order_limit_ms()));
-  if (!isLife(life)) co_return;
-  if (!answer) takeMiss();
+  if (!isCurrentIncarnation(life)) co_return;
+  if (!answer) recordUnansweredCall();
   if (answer && answer->verdict == TargetVerdict::Taken) {
-    m_life->missedAt = Time{};
+    m_target->unansweredSince = Time{};
     const auto found = m_runs.find(key);
-    if (found == m_runs.end()) co_return;  // it has ended already
+    if (found == m_runs.end()) co_return;  // the run has ended already
     found->second.busy = false;
     schema::StartReport& started = m_started[key];
     *started.mutable_task() = order.task();
     started.set_run(order.run());
     logEvent(schema::RunStarted, {{"task", name}, {"run", std::uint64_t{order.run()}}, {"target", life}});
-    news();
+    notifyPendingChanges();
     co_return;
   }
   const bool refused = answer && answer->verdict == TargetVerdict::Refused && answer->reason != "old";
   const bool otherLife = answer && answer->verdict == TargetVerdict::OtherLife;
   const auto own = m_runs.find(key);
-  if (own != m_runs.end()) own->second.neverBegan = refused || otherLife;
+  if (own != m_runs.end()) own->second.neverStarted = refused || otherLife;
   if (otherLife) {
-    endLife();
+    endIncarnation();
     co_return;
   }
   if (refused) {
@@ -358,11 +370,11 @@
   } else {
     logEvent(schema::RunInDoubt, {{"task", name}, {"run", std::uint64_t{order.run()}}, {"target", life}});
   }
-  // After a refusal too: another copy of the order may be on its way to this agent, and must find the run stopped.
+  // Refused runs are stopped too: another copy of the order may still reach this agent and must find the run stopped.
   co_await stopRun(std::move(order));
 }
 
-/** Stops a run until the target confirms that; then its lists tell what became of it. */
+/** Sends stop calls for a run until the target confirms one, then reads the outcome from the target's lists. */
 Awaitable<void> RunAgentService::stopRun(schema::RunOrder order) {
   const std::string& life = order.target();
   const RunKey key = runKeyOf(order.task(), order.run());
@@ -373,12 +385,12 @@
   while (true) {
     Result<TargetAnswer> answer = co_await m_port->stop(life, order.task(), order.run(), token(), limit);
     if (!isOpen(life, key)) co_return;
-    if (!answer) takeMiss();
+    if (!answer) recordUnansweredCall();
     if (answer && answer->verdict == TargetVerdict::OtherLife) {
-      endLife();
+      endIncarnation();
       co_return;
     }
-    // A refusal has changed nothing at the target: a start that is still on its way would begin the run afterwards.
+    // A refused stop has changed nothing at the target: a delayed start could still begin the run afterwards.
     if (answer && answer->verdict == TargetVerdict::Taken) break;
     if (answer) {
       logEvent(schema::StopRefused, {{"task", taskText(order.task())},
@@ -387,20 +399,20 @@
                                      {"reason", answer->reason}});
     }
     co_await sleepFor(answer ? refusedPause : internal::FailedPause);
-    if (answer) refusedPause = std::min(2 * refusedPause, internal::LongestRefusedPause);
+    if (answer) refusedPause = std::min(2 * refusedPause, internal::MaxRefusedPause);
     if (!isOpen(life, key)) co_return;
   }
-  // Only a look that was asked for after the confirmation says whether the run was there, and only one that leaves no
-  // ends out.
-  while (!co_await look(0) || (m_life->moreEnds && !listed(key))) {
+  // Only a poll sent after the confirmation shows whether the target had the run, and only if it lists the run or
+  // leaves out no ends.
+  while (!co_await poll(0) || (m_target->moreEnds && !isListed(key))) {
     co_await sleepFor(internal::FailedPause);
     if (!isOpen(life, key)) co_return;
   }
   const auto found = m_runs.find(key);
   if (found == m_runs.end()) co_return;
   found->second.busy = false;
-  found->second.neverBegan = false;
-  if (!listed(key)) settle(order.task(), order.run(), schema::RunVoided, "never began");
+  found->second.neverStarted = false;
+  if (!isListed(key)) settle(order.task(), order.run(), schema::RunVoided, "never began");
 }
 
 void RunAgentService::reload(const schema::Settings& settings) {
--- a/Courseloom/src/Agent/RunAgentService.h
+++ b/Courseloom/src/Agent/RunAgentService.h
@@ -23,29 +23,33 @@
 namespace courseloom {
 
 /** \class RunAgentEdges
- * \brief The deployment's protocol, as far as an agent speaks it.
+ * \brief The parts of the deployment's protocol that an agent needs, as factories and handlers.
  */
 struct RunAgentEdges {
+  /** Creates the port through which the agent calls its target. */
   std::function<std::unique_ptr<TargetPort>(const DaemonContext&)> makePort;
+  /** Answers a request that the target sends to register, to repeat its registration or to deregister. */
   std::function<Awaitable<HttpResponse>(HttpRequest, TargetRegistry&)> answerRegistration;
 };
 
-/** \returns whether an agent that was answered at an instant is still taken to reach control, so that it may relay
- * calls of others: until two reports could have been answered. \param reportWait for which a report may be held back */
+/** \returns whether an agent is still considered connected to control, so that it may relay calls of others. This holds
+ * until two further reports could have been answered. \param answered when control last answered the agent directly
+ * \param reportWait how long control may hold back the reply to a report */
 bool reachesControl(Time answered, Duration reportWait, Time now);
 
 /** \class RunAgentService
  * \brief The agent daemon that runs tasks of workflows: the only process that calls the target beside it.
  *
- * It follows the control leader, carries out its orders under the leader's term, and holds what runs for as long as the
- * leader's grants last. A start without an answer is stopped until the target confirms that, and its fate is read from
- * the target's lists afterwards. Ends are reported until the leader has committed them; only then may the target forget
- * them. A heartbeat may have been long on its way: another life of the target is believed once it has answered a look.
- * Everything runs on one strand. \sa RunLedger TargetLife
+ * The agent follows the control leader, carries out the leader's orders under the leader's term, and keeps runs alive
+ * at the target for the duration of its lease. After an unconfirmed start the agent sends stop calls until the target
+ * confirms one; it then reads the outcome of the run from the lists of the target. The agent reports ends until the
+ * leader has committed them, and only then allows the target to forget them. A heartbeat may arrive with a long delay,
+ * so the agent accepts a new incarnation of the target only after that incarnation has answered a poll. All state is
+ * accessed on one strand. \sa RunLedger TargetLife
  */
 class RunAgentService : public Service, private TargetRegistry {
  public:
-  RunAgentService(const DaemonContext& context, RunAgentEdges edges);
+  RunAgentService(const DaemonContext& context, RunAgentEdges protocol);
   Result<Listening> start() override;
   Awaitable<std::size_t> stop() override;
   void reload(const schema::Settings& settings) override;
@@ -53,43 +57,43 @@
  private:
   using Strand = boost::asio::strand<boost::asio::io_context::executor_type>;
 
-  /** Looks without answer after which a target gets nothing new. */
-  static constexpr unsigned FailuresUnreachable = 2;
+  /** Number of failed polls in a row after which the target counts as unreachable and gets no new runs. */
+  static constexpr unsigned UnreachableAfterFailures = 2;
 
   struct LocalRun {
-    bool busy = false;        ///< a call for it is under way
-    bool neverBegan = false;  ///< its start was answered, and began nothing
+    bool busy = false;          ///< a call to the target about this run is in progress
+    bool neverStarted = false;  ///< the target answered the start call and did not begin the run
   };
-  /** What a target's going away says of one run that was there. */
-  struct CrashSight {
+  /** Whether the loss of a target is attributed to one of the runs that were there. */
+  struct CrashEvidence {
     schema::CrashKind kind = schema::NoCrash;
-    Duration after{};  ///< from the order to start the run to the first call without an answer
+    Duration after{};  ///< from the start call of the run to the first unanswered call
   };
-  /** What became of a run, as this agent has made sure of it. */
-  struct Fate {
+  /** The outcome of a run that this agent, not the target, has determined. */
+  struct RunOutcome {
     schema::EndReport report;
-    bool told = false;  ///< the leader has committed it
-    Time keptUntil{};   ///< once told: the grants of orders that left the leader before are over then
+    bool committed = false;  ///< the leader has committed the report
+    Time keptUntil{};  ///< set when committed; the leases of all orders sent before the commit have expired by then
   };
-  /** The target's present life. */
-  struct Life {
+  /** State of the current incarnation of the target. */
+  struct TargetState {
     schema::TargetReport report;
-    std::uint64_t sequence = 0;
-    std::uint64_t clockMs = 0;                           ///< its clock ...
-    Time clockAt{};                                      ///< ... at or before this instant
-    std::chrono::steady_clock::time_point clockAwakeAt;  ///< the same by a clock that stands while the machine sleeps
-    bool left = false;                                   ///< it said that it ends
-    unsigned failures = 0;                               ///< looks in a row without answer
-    std::string successor;                               ///< life that answered a look in its place; empty is none
-    std::uint64_t step = 0;                              ///< of the newest token under which it has answered a look
-    bool fenced = false;  ///< it, or a successor, refused the newest look for a higher token
-    std::uint64_t endsTaken = 0;
-    Time missedAt{};                   ///< when a call first got no answer since the last one that did; zero is not
-    std::map<RunKey, Time> orderedAt;  ///< when it was told to start a run, until it lists its end
-    std::map<std::uint64_t, schema::EndReport> ends;  ///< not committed yet, by number
-    bool moreEnds = false;                            ///< the newest look left ends out
-    std::vector<schema::RunReport> running;
-    Time lookedAt{};  ///< when the target last told what runs
+    std::uint64_t sequence = 0;  ///< number of the newest announcement
+    std::uint64_t clockMs = 0;   ///< the target's steady clock as last received, ms; 0 before that
+    Time clockAt{};              ///< when clockMs was received: the target's clock showed it then or earlier
+    std::chrono::steady_clock::time_point clockAwakeAt;  ///< clockAt by a clock that stops during suspension
+    bool deregistered = false;                           ///< the target has announced its end
+    unsigned failures = 0;                               ///< number of failed polls in a row
+    std::string successor;   ///< incarnation that answered a poll in place of this one; empty for none
+    std::uint64_t step = 0;  ///< fence step of the newest token under which this incarnation has answered a poll
+    bool fenced = false;     ///< this incarnation or a successor refused the newest poll because its token was too low
+    std::uint64_t endsTaken = 0;       ///< number of the newest end that the leader has committed
+    Time unansweredSince{};            ///< first unanswered call since the last successful poll or start; zero for none
+    std::map<RunKey, Time> orderedAt;  ///< time of the start call of each run, until the target lists the run's end
+    std::map<std::uint64_t, schema::EndReport> ends;  ///< ends listed by the target and not committed yet, by number
+    bool moreEnds = false;                            ///< the newest poll did not list all ends
+    std::vector<schema::RunReport> running;           ///< running runs as of the newest answered poll
+    Time polledAt{};                                  ///< when the newest answer to a poll arrived
     ProgressWatch progress;
   };
 
@@ -97,47 +101,51 @@
   Awaitable<void> leave(std::string life) override;
   Awaitable<void> announceOnStrand(TargetAnnouncement announcement);
   Awaitable<void> leaveOnStrand(std::string life);
-  void takeAnnouncement(const TargetAnnouncement& announcement);
-  void takeOtherLife(const TargetAnnouncement& announcement);
+  void handleAnnouncement(const TargetAnnouncement& announcement);
+  void recordOtherIncarnation(const TargetAnnouncement& announcement);
   Awaitable<void> confirmLoop();
   Awaitable<void> confirm(std::string life);
-  void beginLife(const TargetAnnouncement& announcement);
-  void takeWord(const TargetAnnouncement& announcement);
-  void tellRoom(const schema::TargetReport& before) const;
+  void beginIncarnation(const TargetAnnouncement& announcement);
+  void applyAnnouncement(const TargetAnnouncement& announcement);
+  void logResize(const schema::TargetReport& before) const;
 
   Awaitable<void> attendLoop();
-  Awaitable<void> newsLoop();
-  /** How a report fared. */
-  enum class Heard : std::uint8_t {
-    Nothing,     ///< no leader answered
-    Introduced,  ///< a leader that this agent did not know has told its term, and has taken nothing in
-    Taken,
+  Awaitable<void> pendingChangesLoop();
+  /** Outcome of sending a report. */
+  enum class ReportOutcome : std::uint8_t {
+    NoAnswer,    ///< no leader answered
+    NotApplied,  ///< a leader answered, but its term is new to this agent or it wants a whole report
+    Applied,     ///< the leader applied the report
   };
   Awaitable<bool> exchange(std::uint32_t waitMs);
-  Awaitable<Heard> tellLeader(std::uint32_t waitMs);
+  Awaitable<ReportOutcome> sendReport(std::uint32_t waitMs);
   schema::AttendRequest makeReport();
-  void takeReply(const schema::AttendRequest& request, const schema::AttendReply& reply, Time sentAt);
+  void applyReply(const schema::AttendRequest& request, const schema::AttendReply& reply, Time sentAt);
   void followDirectory(const schema::AttendReply& reply);
-  void takeOrder(const schema::RunOrder& order, Time until);
-  void news();
-
-  Awaitable<void> lookLoop();
-  Awaitable<bool> look(std::uint32_t waitMs);
-  void takeLook(const TargetAnswer& answer, Time receivedAt);
-  void takeSuccessor(const TargetAnswer& answer);
-  void takeMiss();
-  void takeSilence();
-  void closeTarget();
-  void endLife();
-  bool inTouch() const;
-  bool granted() const { return BootClock::now() < m_grantUntil; }
-  bool isLife(const std::string& life) const { return m_life && m_life->report.id() == life; }
-  /** \returns the token of calls to the present life. */
-  std::uint64_t token() const { return Fence::token(m_life->step, m_term); }
-  std::uint64_t raiseFence() { return m_fence.raise(wallClockMs()); }
+  void handleOrder(const schema::RunOrder& order, Time until);
+  /** Marks changes as pending and wakes the loop that reports them at once. */
+  void notifyPendingChanges();
+
+  Awaitable<void> pollLoop();
+  /** Polls the target once. \param waitMs how long the target may wait for an end before it answers
+   * \returns whether the current incarnation answered */
+  Awaitable<bool> poll(std::uint32_t waitMs);
+  void applyPoll(const TargetAnswer& answer, Time receivedAt);
+  void handleSuccessor(const TargetAnswer& answer);
+  void recordUnansweredCall();
+  void recordFailedPoll();
+  void allowNoMoreFailures();
+  void endIncarnation();
+  bool canRelay() const;
+  /** \returns whether the lease granted by the leader still holds. */
+  bool hasLease() const { return BootClock::now() < m_leaseUntil; }
+  bool isCurrentIncarnation(const std::string& life) const { return m_target && m_target->report.id() == life; }
+  /** \returns the fencing token for calls to the current incarnation. */
+  std::uint64_t token() const { return Fence::token(m_target->step, m_term); }
+  std::uint64_t nextFenceStep() { return m_fence.raise(wallClockMs()); }
   std::uint64_t deadlineOnTarget(Time until) const;
-  void takeClock(std::uint64_t clockMs);
-  Time longestHold() const;
+  void recordClock(std::uint64_t clockMs);
+  Time latestHoldEnd() const;
   std::optional<std::uint64_t> holdDeadline();
 
   void paceFillers();
@@ -145,52 +153,56 @@
   Awaitable<void> startRun(schema::RunOrder order);
   Awaitable<void> stopRun(schema::RunOrder order);
   void settle(const schema::TaskId& task, std::uint32_t run, schema::RunEndKind kind, const std::string& reason);
-  void takeTold(const schema::AttendRequest& request, const schema::AttendReply& reply);
+  void applyAcknowledgement(const schema::AttendRequest& request, const schema::AttendReply& reply);
   void settleAll(schema::RunEndKind kind, const std::string& reason);
-  void noteLost(const RunKey& key, schema::RunEndKind kind);
-  CrashSight crashUnder(const RunKey& key) const;
-  bool hasRoomFor(const schema::RunOrder& order) const;
-  bool listed(const RunKey& key) const;
-  /** \returns whether a run of a life is still to be made sure of. */
-  bool isOpen(const std::string& life, const RunKey& key) const { return isLife(life) && m_runs.count(key) > 0; }
+  void recordLost(const RunKey& key, schema::RunEndKind kind);
+  CrashEvidence crashEvidenceOf(const RunKey& key) const;
+  bool hasCapacityFor(const schema::RunOrder& order) const;
+  bool isListed(const RunKey& key) const;
+  /** \returns whether a target incarnation is the current one and the outcome of a run there is still undetermined. */
+  bool isOpen(const std::string& life, const RunKey& key) const {
+    return isCurrentIncarnation(life) && m_runs.count(key) > 0;
+  }
 
   DaemonContext m_context;
-  RunAgentEdges m_edges;
+  RunAgentEdges m_protocol;
   Strand m_strand;
   ControlClient m_control;
   ControlRelay m_relay;
   std::unique_ptr<TargetPort> m_port;
   HttpServer m_registration;
   HttpServer m_http;
-  std::uint64_t m_incarnation;
-  std::uint64_t m_sequence = 0;  ///< of the newest report
+  std::uint64_t m_agentIncarnation;
+  std::uint64_t m_sequence = 0;  ///< number of the newest report
   ReportedTarget m_reported;
-  std::uint64_t m_directory = 0;        ///< of the replicas and relays that it was told last
-  std::atomic<std::uint32_t> m_waitMs;  ///< for which reports may be held back; the relay asks from any thread
-  /** When control last answered without a relay, since the clock's beginning; the relay asks from any thread. */
-  std::atomic<Duration::rep> m_directAt{0};
-  std::optional<Life> m_life;
-  /** Newest heartbeats of other lives than the present one, by name; believed once that life answers. */
+  std::uint64_t m_directory = 0;        ///< version of the newest list of replicas and relays received
+  std::atomic<std::uint32_t> m_waitMs;  ///< how long the leader may hold back replies, ms; read from any thread
+  /** When control last answered without a relay, as time since the clock's epoch; the relay reads it from any thread.
+   */
+  std::atomic<Duration::rep> m_lastDirectContact{0};
+  std::optional<TargetState> m_target;
+  /** Newest heartbeats of incarnations other than the current one, by name. An incarnation becomes current by answering
+   * a poll. */
   std::map<std::string, TargetAnnouncement> m_announced;
-  std::map<RunKey, LocalRun> m_runs;
-  std::map<RunKey, RunTraits> m_traits;  ///< of runs whose order this agent has seen
+  std::map<RunKey, LocalRun> m_runs;     ///< runs that may be at the target and have no known end
+  std::map<RunKey, RunTraits> m_traits;  ///< for runs whose start order this agent has received
   FillerPacer m_pacer;
-  std::map<RunKey, Fate> m_fates;                   ///< of runs that this life of the target is not to begin any more
-  std::map<RunKey, schema::StartReport> m_started;  ///< not reported yet
-  std::map<RunKey, schema::LostRun> m_lost;         ///< with a life or its silence, not reported yet
+  std::map<RunKey, RunOutcome> m_outcomes;          ///< for runs that the current incarnation must not begin any more
+  std::map<RunKey, schema::StartReport> m_started;  ///< confirmed starts not reported yet
+  std::map<RunKey, schema::LostRun> m_lost;  ///< runs lost when an incarnation ended or fell silent; not reported yet
   std::uint64_t m_term = 0;
   Fence m_fence;
-  Time m_grantUntil{};
-  Duration m_longestGrant{};  ///< that any leader has given
-  Time m_leaderHeard{};       ///< when a leader last answered
-  Time m_heldUntil{};         ///< latest end of any hold that the target may have taken
-  bool m_following = false;
-  bool m_hasNews = false;
+  Time m_leaseUntil{};
+  Duration m_longestLease{};   ///< longest lease that any leader has granted
+  Time m_leaderLastContact{};  ///< when a leader last answered
+  Time m_holdsEndBy{};         ///< latest deadline of all holds that the target may have received
+  bool m_following = false;    ///< a leader has answered and has not been lost since
+  bool m_hasPendingChanges = false;
   bool m_stopping = false;
-  ChangeSignal m_newsSignal;
-  ChangeSignal m_lifeSignal;
+  ChangeSignal m_pendingChangesSignal;
+  ChangeSignal m_targetSignal;
   ChangeSignal m_announcedSignal;
-  ChangeSignal m_lookSignal;
+  ChangeSignal m_pollSignal;
 };
 
 }  // namespace courseloom
--- a/Courseloom/src/Routing/Router.cpp
+++ b/Courseloom/src/Routing/Router.cpp
@@ -10,9 +10,9 @@
 
 namespace internal {
 namespace {
-constexpr std::int64_t MostBudget = 10000;  ///< a hundred retries saved up
-constexpr std::int64_t OneRetry = 100;
-constexpr unsigned MostDoublings = 4;
+constexpr std::int64_t MaxBudget = 10000;  ///< a hundred retries, in hundredths of a retry
+constexpr std::int64_t RetryCost = 100;
+constexpr unsigned MaxDoublings = 4;
 }  // namespace
 }  // namespace internal
 
@@ -25,7 +25,7 @@
       static_cast<double>(now.time_since_epoch().count() - target.reportedAt.load(std::memory_order_relaxed));
   const double weight = std::exp2(-age / static_cast<double>(m_options.loadHalfLife.count()));
   const double own = target.inFlight.load(std::memory_order_relaxed);
-  // The report holds this entry's requests too; what is known for sure is the least that it can be.
+  // The report includes the requests of this entry. Their exact number is a lower bound of the load.
   const double reported = target.reportedLoad.load(std::memory_order_relaxed) * weight;
   return std::max(own, reported) / target.slots.load(std::memory_order_relaxed);
 }
@@ -39,7 +39,7 @@
     if (wasTried || target->leaving.load(std::memory_order_relaxed)) continue;
     (isEjected(*target, now) ? ejected : usable).push_back(&target);
   }
-  // With every target ejected a guess is better than a refusal.
+  // If all targets are ejected, trying one is better than refusing the request.
   if (usable.empty()) usable = ejected;
   if (usable.empty()) return nullptr;
   const std::size_t count = usable.size();
@@ -59,11 +59,10 @@
   }
   const unsigned failures = target.failuresInRow.fetch_add(1, std::memory_order_relaxed) + 1;
   if (!m_options.ejection || failures < m_options.ejectAfterFailures || isEjected(target, now)) return false;
-  std::size_t out = 0;
-  for (const TargetPointer& other : targets) out += isEjected(*other, now) ? 1 : 0;
-  if ((out + 1) * 100 > targets.size() * m_options.maxEjectedPercent) return false;
-  const unsigned doublings =
-      std::min(target.ejections.fetch_add(1, std::memory_order_relaxed), internal::MostDoublings);
+  std::size_t ejectedCount = 0;
+  for (const TargetPointer& other : targets) ejectedCount += isEjected(*other, now) ? 1 : 0;
+  if ((ejectedCount + 1) * 100 > targets.size() * m_options.maxEjectedPercent) return false;
+  const unsigned doublings = std::min(target.ejections.fetch_add(1, std::memory_order_relaxed), internal::MaxDoublings);
   const Time until = now + m_options.ejectFor * (1 << doublings);
   target.ejectedUntil.store(until.time_since_epoch().count(), std::memory_order_relaxed);
   target.failuresInRow.store(0, std::memory_order_relaxed);
@@ -72,13 +71,13 @@
 
 void Router::onFirstTry() {
   const std::int64_t budget = m_budget.fetch_add(m_options.retryBudgetPercent, std::memory_order_relaxed);
-  if (budget > internal::MostBudget) m_budget.store(internal::MostBudget, std::memory_order_relaxed);
+  if (budget > internal::MaxBudget) m_budget.store(internal::MaxBudget, std::memory_order_relaxed);
 }
 
 bool Router::takeRetry() {
   std::int64_t budget = m_budget.load(std::memory_order_relaxed);
-  while (budget >= internal::OneRetry) {
-    if (m_budget.compare_exchange_weak(budget, budget - internal::OneRetry, std::memory_order_relaxed)) return true;
+  while (budget >= internal::RetryCost) {
+    if (m_budget.compare_exchange_weak(budget, budget - internal::RetryCost, std::memory_order_relaxed)) return true;
   }
   return false;
 }
--- a/Courseloom/src/Routing/Target.cpp
+++ b/Courseloom/src/Routing/Target.cpp
@@ -12,9 +12,9 @@
   if (load.leaving()) leaving.store(true, std::memory_order_relaxed);
 }
 
-void Target::heardLife(std::uint64_t life) {
-  std::uint64_t known = answeredAs.load(std::memory_order_relaxed);
-  while (life > known && !answeredAs.compare_exchange_weak(known, life, std::memory_order_relaxed)) {
+void Target::heardLife(std::uint64_t reported) {
+  std::uint64_t known = answeredIncarnation.load(std::memory_order_relaxed);
+  while (reported > known && !answeredIncarnation.compare_exchange_weak(known, reported, std::memory_order_relaxed)) {
   }
 }
 
--- a/Courseloom/src/Routing/Target.h
+++ b/Courseloom/src/Routing/Target.h
@@ -15,33 +15,38 @@
 namespace courseloom {
 
 /** \class Target
- * \brief One target as an entry sees it: where its agent is, what is in flight from here, what the agent last said.
+ * \brief One target as seen by an entry: the client for its agent, the requests in flight from this entry, and the load
+ * that the agent last reported.
  *
- * The counters are atomics, read and written on the path of requests by all threads; the rest does not change.
+ * The atomics are read and written by all threads that handle requests; the other members do not change.
  */
 struct Target {
   std::string service;
   std::string name;
   std::string dataHall;
-  std::uint64_t incarnation = 0;     ///< of the agent's life that the list names
+  std::uint64_t incarnation = 0;     ///< incarnation of the agent by the list of targets
   std::shared_ptr<RpcClient> agent;  ///< null in benches
 
-  std::atomic<unsigned> inFlight{0};      ///< sent from this entry and not answered
-  std::atomic<unsigned> reportedLoad{0};  ///< running and queued, as last reported
-  std::atomic<unsigned> slots{1};
-  std::atomic<std::int64_t> reportedAt{0};  ///< microseconds since boot
+  std::atomic<unsigned> inFlight{0};        ///< requests sent from this entry and not answered
+  std::atomic<unsigned> reportedLoad{0};    ///< running and queued requests, as last reported
+  std::atomic<unsigned> slots{1};           ///< as last reported, at least 1
+  std::atomic<std::int64_t> reportedAt{0};  ///< time of the last report, microseconds since boot
   std::atomic<unsigned> failuresInRow{0};
-  std::atomic<unsigned> ejections{0};  ///< in a row, for the back-off
-  std::atomic<std::int64_t> ejectedUntil{0};
+  std::atomic<unsigned> ejections{0};         ///< ejections in a row, for the exponential back-off
+  std::atomic<std::int64_t> ejectedUntil{0};  ///< end of the last ejection, microseconds since boot; 0 before the first
   std::atomic<bool> leaving{false};
-  std::atomic<std::uint64_t> answeredAs{0};  ///< the agent's life as it last answered; 0 before that
+  std::atomic<std::uint64_t> answeredIncarnation{
+      0};  ///< highest incarnation in the agent's answers; 0 before the first
 
-  /** Takes a report of the agent's load in. */
+  /** Applies a report of the agent's load. */
   void report(const schema::AgentLoad& load, Time now);
-  /** Takes the agent's life from an answer; one that was overtaken by a later life's changes nothing. */
-  void heardLife(std::uint64_t life);
-  /** \returns the life for which tokens are made: the agent's own word comes before the list, which is told later. */
-  std::uint64_t lifeForTokens() const { return std::max(incarnation, answeredAs.load(std::memory_order_relaxed)); }
+  /** Records the agent's incarnation from an answer. A late answer of a former incarnation changes nothing. */
+  void heardLife(std::uint64_t reported);
+  /** \returns the incarnation for which tokens are made: the higher of the one in the agent's answers and the one in
+   * the list of targets, since the list is updated later. */
+  std::uint64_t lifeForTokens() const {
+    return std::max(incarnation, answeredIncarnation.load(std::memory_order_relaxed));
+  }
 };
 
 using TargetPointer = std::shared_ptr<Target>;
--- a/Courseloom/src/Routing/View.cpp
+++ b/Courseloom/src/Routing/View.cpp
@@ -20,7 +20,7 @@
 const schema::Object* View::workspace(const std::string& name) const { return internal::find_object(workspaces, name); }
 
 std::unique_ptr<View> ViewBuilder::next(const View& last, const schema::WatchReply& reply) const {
-  // A reply of an older term may come late from a former leader; its revisions are no news.
+  // A reply of an older term comes from a former leader and arrived late; its revisions are outdated.
   if (reply.term() < last.term) return nullptr;
   const bool newConfiguration = reply.revision() > last.revision;
   const bool newerList = reply.term() > last.targetsTerm || reply.view() > last.targetsVersion;
@@ -55,7 +55,7 @@
   }
 }
 
-TargetPointer ViewBuilder::keepOrMake(const View& last, const schema::NodeStatus& node) const {
+TargetPointer ViewBuilder::reuseOrCreate(const View& last, const schema::NodeStatus& node) const {
   const auto service = last.targets.find(node.service());
   if (service != last.targets.end()) {
     for (const TargetPointer& target : service->second) {
@@ -77,7 +77,7 @@
   view.targets.clear();
   const Time now = BootClock::now();
   for (const schema::NodeStatus& node : reply.targets()) {
-    TargetPointer target = keepOrMake(last, node);
+    TargetPointer target = reuseOrCreate(last, node);
     target->report(node.load(), now);
     target->leaving.store(node.leaving() || node.load().leaving(), std::memory_order_relaxed);
     view.targets[node.service()].push_back(std::move(target));
