--- a/Courseloom/src/Scheduling/EndForecast.cpp
+++ b/Courseloom/src/Scheduling/EndForecast.cpp
@@ -13,78 +13,79 @@
 
 constexpr std::size_t NoGroup = std::numeric_limits<std::size_t>::max();
 
-/** \class CapacityCount
- * \brief Upper bound of the tasks that groups of targets could take, kept while room comes back.
+/** \class FittingTasks
+ * \brief Upper bound of the tasks that fit on groups of targets, updated as runs end.
  *
- * It is exact but for targets that headroom keeps whole: of those only as many as may be opened are counted, each with
- * the most that any of them could take.
+ * It is exact except for fully free targets where headroom applies: only as many of them as may be used are counted,
+ * each with the largest number of tasks that fits on any of them.
  */
-class CapacityCount {
+class FittingTasks {
  public:
-  CapacityCount(const StepDemand& demand, const TargetGroups& groups, const TargetIndex& targets, const Placer& placer,
-                const Rooms& rooms)
+  FittingTasks(const StepDemand& demand, const TargetGroups& groups, const TargetIndex& targets, const Placer& placer,
+               const Rooms& capacities)
       : m_demand(demand), m_placer(placer), m_anywhere(groups.racks.size()) {
     m_rackOf.assign(targets.size(), NoGroup);
     m_isAnywhere.assign(targets.size(), false);
     m_counts.resize(groups.racks.size() + 1);
-    m_headroom = placer.obeysHeadroom(demand);
+    m_headroom = placer.respectsHeadroom(demand);
     for (std::size_t rack = 0; rack < groups.racks.size(); ++rack) {
       for (const std::size_t target : groups.racks[rack].targets) m_rackOf[target] = rack;
     }
     if (groups.anywhere) {
       for (const std::size_t target : *groups.anywhere) m_isAnywhere[target] = true;
     }
-    for (std::size_t target = 0; target < rooms.size(); ++target) count(target, rooms[target], true);
+    for (std::size_t target = 0; target < capacities.size(); ++target) count(target, capacities[target], true);
   }
 
-  /** Takes a change of a target's room in. */
-  void change(std::size_t target, Room& room, const Room& freed) {
-    count(target, room, false);
-    room.add(freed);
-    count(target, room, true);
+  /** Adds freed capacity to a target. \param capacity the target's free capacity, which is updated */
+  void release(std::size_t target, Room& capacity, const Room& freed) {
+    count(target, capacity, false);
+    capacity.add(freed);
+    count(target, capacity, true);
   }
 
-  /** \returns whether some group may take all tasks. */
+  /** \returns whether the bound of some group is at least the number of tasks. */
   bool suffices() const {
     return std::any_of(m_counts.begin(), m_counts.end(),
                        [this](const Count& count) { return bound(count) >= m_demand.tasks; });
   }
-  /** \returns whether a change of a target matters to some group. */
-  bool concerns(std::size_t target) const { return m_rackOf[target] != NoGroup || m_isAnywhere[target]; }
+  /** \returns whether a target belongs to any group. */
+  bool contains(std::size_t target) const { return m_rackOf[target] != NoGroup || m_isAnywhere[target]; }
+  /** \returns whether the headroom for priority 0 applies to the step. */
   bool headroom() const { return m_headroom; }
 
  private:
   struct Count {
-    std::size_t broken = 0;  ///< tasks that targets in use could take
-    std::size_t whole = 0;   ///< tasks that wholly free targets could take, where those are counted apart
+    std::size_t onUsed = 0;       ///< tasks that fit on all other targets
+    std::size_t onFullyFree = 0;  ///< tasks that fit on fully free targets; 0 if headroom does not apply
   };
 
   std::size_t bound(const Count& count) const {
-    const std::size_t opened = m_wholeTargets - std::min<std::size_t>(m_wholeTargets, m_placer.keepWhole());
-    return count.broken + std::min(count.whole, opened * m_mostOnWhole);
+    const std::size_t usable = m_fullyFree - std::min<std::size_t>(m_fullyFree, m_placer.keepWhole());
+    return count.onUsed + std::min(count.onFullyFree, usable * m_mostOnFullyFree);
   }
 
-  void count(std::size_t target, const Room& room, bool add) {
-    const bool whole = m_headroom && m_placer.isWhole(target, room);
-    if (whole) m_wholeTargets = add ? m_wholeTargets + 1 : m_wholeTargets - 1;
-    if (!concerns(target)) return;
-    const std::size_t capacity = m_placer.capacityFor(m_demand, target, room);
-    if (capacity == 0) return;
-    if (whole) m_mostOnWhole = std::max(m_mostOnWhole, capacity);
-    const auto change = [&](Count& group) {
-      std::size_t& tasks = whole ? group.whole : group.broken;
-      tasks = add ? tasks + capacity : tasks - capacity;
+  void count(std::size_t target, const Room& capacity, bool add) {
+    const bool fullyFree = m_headroom && m_placer.isFullyFree(target, capacity);
+    if (fullyFree) m_fullyFree = add ? m_fullyFree + 1 : m_fullyFree - 1;
+    if (!contains(target)) return;
+    const std::size_t fitting = m_placer.fittingTasks(m_demand, target, capacity);
+    if (fitting == 0) return;
+    if (fullyFree) m_mostOnFullyFree = std::max(m_mostOnFullyFree, fitting);
+    const auto adjust = [&](Count& group) {
+      std::size_t& tasks = fullyFree ? group.onFullyFree : group.onUsed;
+      tasks = add ? tasks + fitting : tasks - fitting;
     };
-    if (m_rackOf[target] != NoGroup) change(m_counts[m_rackOf[target]]);
-    if (m_isAnywhere[target]) change(m_counts[m_anywhere]);
+    if (m_rackOf[target] != NoGroup) adjust(m_counts[m_rackOf[target]]);
+    if (m_isAnywhere[target]) adjust(m_counts[m_anywhere]);
   }
 
   const StepDemand& m_demand;
   const Placer& m_placer;
-  std::size_t m_anywhere;  ///< place of the count of all targets, after those of the racks
+  std::size_t m_anywhere;  ///< index in m_counts of the count for targets of all racks, after the racks
   bool m_headroom = false;
-  std::size_t m_wholeTargets = 0;
-  std::size_t m_mostOnWhole = 0;
+  std::size_t m_fullyFree = 0;        ///< number of fully free targets; 0 if headroom does not apply
+  std::size_t m_mostOnFullyFree = 0;  ///< most tasks that fit on any of them
   std::vector<std::size_t> m_rackOf;
   std::vector<bool> m_isAnywhere;
   std::vector<Count> m_counts;
@@ -104,15 +105,15 @@
 std::optional<EndForecast::Wait> EndForecast::waitFor(const StepDemand& demand, const TargetGroups& groups,
                                                       const Rooms& free, double limitMs) {
   orderByEnd();
-  Rooms rooms = free;
-  internal::CapacityCount capacity(demand, groups, m_targets, m_placer, rooms);
+  Rooms capacities = free;
+  internal::FittingTasks fitting(demand, groups, m_targets, m_placer, capacities);
   for (const std::size_t r : m_byEnd) {
     const PlannedRun& run = m_runs[r];
     if (run.remainingMs > limitMs) break;
-    if (!capacity.concerns(run.target) && !capacity.headroom()) continue;
-    capacity.change(run.target, rooms[run.target], run.need);
-    if (!capacity.suffices()) continue;
-    std::optional<StepPlacement> placement = m_placer.placeWhole(demand, groups, rooms);
+    if (!fitting.contains(run.target) && !fitting.headroom()) continue;
+    fitting.release(run.target, capacities[run.target], run.need);
+    if (!fitting.suffices()) continue;
+    std::optional<StepPlacement> placement = m_placer.placeWhole(demand, groups, capacities);
     if (placement) return Wait{run.remainingMs, std::move(*placement)};
   }
   return std::nullopt;
--- a/Courseloom/src/Scheduling/EndForecast.h
+++ b/Courseloom/src/Scheduling/EndForecast.h
@@ -11,23 +11,26 @@
 namespace courseloom {
 
 /** \class EndForecast
- * \brief Tells when enough runs will have ended by themselves for a step to be placed.
+ * \brief Predicts when enough runs will have ended, without being stopped, for a step to be placed.
  *
- * Counts what each target could take and follows the ends in their order, so that one end costs one count; places are
- * looked for only once the counts suffice. Trying a whole placement after each of 2,400 ends took 80 ms a step.
+ * It processes the expected ends in their order and keeps an upper bound of the tasks that fit; each end changes the
+ * count of one target. A placement is searched for only when the bound suffices. A full search after each of 2,400 ends
+ * took 80 ms per step.
  */
 class EndForecast {
  public:
+  /** Expected wait of a step, and its placement afterwards. */
   struct Wait {
-    double waitMs = 0.0;
-    StepPlacement placement;  ///< the places that are free then
+    double waitMs = 0.0;      ///< time until the placement is possible, ms
+    StepPlacement placement;  ///< targets of all tasks at that time
   };
 
+  /** All arguments have to outlive the object. */
   EndForecast(const std::vector<PlannedRun>& runs, const TargetIndex& targets, const Placer& placer)
       : m_runs(runs), m_targets(targets), m_placer(placer) {}
 
-  /** \returns the wait for a place of all tasks of a step, or nothing if it is longer than a limit.
-   * \param free room that there is now \param limitMs longest wait of interest */
+  /** \returns the expected wait until all tasks of a step can be placed, or nothing if it exceeds a limit.
+   * \param free free capacity now, by target \param limitMs longest acceptable wait, ms */
   std::optional<Wait> waitFor(const StepDemand& demand, const TargetGroups& groups, const Rooms& free, double limitMs);
 
  private:
@@ -36,7 +39,7 @@
   const std::vector<PlannedRun>& m_runs;
   const TargetIndex& m_targets;
   const Placer& m_placer;
-  std::vector<std::size_t> m_byEnd;  ///< the first to end first; empty until it is needed
+  std::vector<std::size_t> m_byEnd;  ///< indexes of runs in the order of their expected ends; empty until needed
 };
 
 }  // namespace courseloom
--- a/Courseloom/src/Scheduling/Lateness.cpp
+++ b/Courseloom/src/Scheduling/Lateness.cpp
@@ -11,27 +11,29 @@
 namespace internal {
 namespace {
 
-/** Time from a plan until a run works: commit, order, and the last member of a gang; measured 60 to 150 ms. */
-constexpr double BeginMs = 100.0;
-/** Spread of the logarithm of a run time beside that of its target's pace. */
-constexpr double TimeSpread = 0.15;
-
-double chance_beyond(double limit, double mean, double error) {
-  const double spread = std::sqrt(error * error + TimeSpread * TimeSpread);
+/** Time from a plan until a run does work: commit, start order, and start of the last run of a gang; measured 60 to
+ * 150 ms. */
+constexpr double StartDelayMs = 100.0;
+/** Standard deviation of the logarithm of a run time, in addition to the error of its target's slowdown. */
+constexpr double RunTimeSpread = 0.15;
+
+/** \returns the probability that a normally distributed logarithm of a run time exceeds a limit. */
+double probability_above(double limit, double mean, double error) {
+  const double spread = std::sqrt(error * error + RunTimeSpread * RunTimeSpread);
   return 0.5 * std::erfc((limit - mean) / (spread * std::sqrt(2.0)));
 }
 
 }  // namespace
 }  // namespace internal
 
-double slownessLimit(double leftMs, double usualMs) {
-  return std::log(std::max(1.0, leftMs - internal::BeginMs) / std::max(1.0, usualMs));
+double slowdownLimit(double leftMs, double usualMs) {
+  return std::log(std::max(1.0, leftMs - internal::StartDelayMs) / std::max(1.0, usualMs));
 }
 
-LateChance::LateChance(double limit) : m_limit(limit), m_usual(internal::chance_beyond(limit, 0.0, 0.0)) {}
+LateChance::LateChance(double limit) : m_limit(limit), m_usualChance(internal::probability_above(limit, 0.0, 0.0)) {}
 
 double LateChance::on(const TargetPace& pace) const {
-  return std::max(0.0, internal::chance_beyond(m_limit, pace.slowness, pace.error) - m_usual);
+  return std::max(0.0, internal::probability_above(m_limit, pace.slowness, pace.error) - m_usualChance);
 }
 
 }  // namespace courseloom
--- a/Courseloom/src/Scheduling/Lateness.h
+++ b/Courseloom/src/Scheduling/Lateness.h
@@ -7,23 +7,24 @@
 
 namespace courseloom {
 
-/** \returns the slowness, as in TargetPace, at which a task that starts now ends just in time.
- * \param leftMs time until it should have ended \param usualMs its run time on a usual target */
-double slownessLimit(double leftMs, double usualMs);
+/** \returns the slowdown, as in TargetPace, at which a task that is planned now ends just in time.
+ * \param leftMs time until the task should end, ms \param usualMs its run time on a usual target, ms */
+double slowdownLimit(double leftMs, double usualMs);
 
 /** \class LateChance
- * \brief By how much the chance that a task ends late is higher on a target than on a usual one, 0 to 1: what is late
- * anyway says nothing against a slow target.
+ * \brief Computes by how much the probability that a task ends late is higher on a target than on a usual one, 0 to 1.
+ * A task that would be late on any target gives no reason to avoid a slow one.
  */
 class LateChance {
  public:
-  /** \param limit slowness at which the task ends just in time */
+  /** \param limit slowdown at which the task ends just in time */
   explicit LateChance(double limit);
+  /** \returns the difference for a target. \param pace the target's slowdown */
   double on(const TargetPace& pace) const;
 
  private:
   double m_limit;
-  double m_usual;  ///< chance to be late on a usual target
+  double m_usualChance;  ///< probability of being late on a usual target
 };
 
 }  // namespace courseloom
--- a/Courseloom/src/Scheduling/Objective.cpp
+++ b/Courseloom/src/Scheduling/Objective.cpp
@@ -12,36 +12,37 @@
 namespace internal {
 namespace {
 
-/** Share of a service's room that one step can count on; a wider one runs in waves. Source: the users' rule on credit.
- */
+/** Share of a service's capacity that one step is assumed to get; a step that needs more runs in waves. Source: the
+ * users' rule on credit. */
 constexpr double StepShare = 0.25;
 
-/** \returns the waves that one kind of room asks for. */
-double waves_in(std::uint32_t count, std::int64_t need, std::int64_t room) {
-  if (need == 0 || room == 0) return 1.0;
-  const double atOnce = std::max(1.0, std::floor(StepShare * static_cast<double>(room) / static_cast<double>(need)));
+/** \returns the number of waves that one resource requires; 1 if none is needed or its amount is not known. */
+double waves_in(std::uint32_t count, std::int64_t need, std::int64_t capacity) {
+  if (need == 0 || capacity == 0) return 1.0;
+  const double atOnce =
+      std::max(1.0, std::floor(StepShare * static_cast<double>(capacity) / static_cast<double>(need)));
   return std::ceil(count / atOnce);
 }
 
 }  // namespace
 }  // namespace internal
 
-unsigned wavesOf(const schema::StepSpec& step, const Room& room) {
+unsigned wavesOf(const schema::StepSpec& step, const Room& capacity) {
   if (step.gang()) return 1;
   const Room need = roomOf(step);
-  const double waves = std::max({internal::waves_in(step.count(), need.cpuMilli, room.cpuMilli),
-                                 internal::waves_in(step.count(), need.memoryMb, room.memoryMb),
-                                 internal::waves_in(step.count(), need.accelerators, room.accelerators)});
+  const double waves = std::max({internal::waves_in(step.count(), need.cpuMilli, capacity.cpuMilli),
+                                 internal::waves_in(step.count(), need.memoryMb, capacity.memoryMb),
+                                 internal::waves_in(step.count(), need.accelerators, capacity.accelerators)});
   return static_cast<unsigned>(waves);
 }
 
-double longestChainMs(const schema::WorkflowSpec& spec, const TaskTime& taskMs, const Room& room) {
+double longestChainMs(const schema::WorkflowSpec& spec, const TaskTime& taskMs, const Room& capacity) {
   std::vector<double> ends;
   double longest = 0.0;
   for (const schema::StepSpec& step : spec.steps()) {
     double begins = 0.0;
     for (const std::uint32_t earlier : step.after()) begins = std::max(begins, ends[earlier]);
-    ends.push_back(begins + taskMs(step) * wavesOf(step, room));
+    ends.push_back(begins + taskMs(step) * wavesOf(step, capacity));
     longest = std::max(longest, ends.back());
   }
   return longest;
--- a/Courseloom/src/Scheduling/Objective.h
+++ b/Courseloom/src/Scheduling/Objective.h
@@ -9,17 +9,19 @@
 
 namespace courseloom {
 
-/** \returns expected run time of one task of a step, ms. */
+/** Returns the expected run time of one task of a step, ms. */
 using TaskTime = std::function<double(const schema::StepSpec& step)>;
 
-/** \returns how often a step has to fill its share of a service's room until all its tasks have run; 1 for a gang.
+/** \returns the number of waves in which a step's tasks run on its share of a service's capacity; 1 for a gang.
  *
- * \param room all that the service's targets have; where it is not known yet, one wave is assumed */
-unsigned wavesOf(const schema::StepSpec& step, const Room& room);
+ * \param capacity total capacity of the service's targets; an amount of 0 is not known yet and does not limit */
+unsigned wavesOf(const schema::StepSpec& step, const Room& capacity);
 
-/** \returns run time of the longest chain of steps, ms, each step with its waves.
+/** \returns the length of a workflow's critical path, ms: the longest chain of steps, where each step takes the run
+ * time of a task times its number of waves.
  *
- * A caller is promised a workflow's end by this time, stretched by its queue's factor. */
-double longestChainMs(const schema::WorkflowSpec& spec, const TaskTime& taskMs, const Room& room);
+ * The objective promised to a caller is this time multiplied by the factor of the workflow's queue.
+ * \param capacity as for wavesOf() */
+double longestChainMs(const schema::WorkflowSpec& spec, const TaskTime& taskMs, const Room& capacity);
 
 }  // namespace courseloom
--- a/Courseloom/src/Scheduling/Placer.h
+++ b/Courseloom/src/Scheduling/Placer.h
@@ -11,78 +11,85 @@
 namespace courseloom {
 
 /** \class TargetGroups
- * \brief Groups of targets, within one of which a step has to be placed.
+ * \brief Groups of targets; a step has to be placed within one of them.
  */
 struct TargetGroups {
   struct Rack {
-    std::size_t rack = 0;
-    std::vector<std::size_t> targets;  ///< those of the rack that may have the step
+    std::size_t rack = 0;              ///< index as in TargetIndex
+    std::vector<std::size_t> targets;  ///< targets of the rack that may run the step
   };
-  std::vector<Rack> racks;  ///< that could hold the whole step
-  TargetList anywhere;      ///< nothing if it has to stay within one rack
+  std::vector<Rack> racks;  ///< racks that could hold the whole step
+  TargetList anywhere;      ///< targets of all racks; null if the step has to stay within one rack
 };
 
 /** \class StepPlacement
- * \brief One target for each task that found a place.
+ * \brief One target for each task that was placed.
  */
 struct StepPlacement {
   std::vector<std::size_t> targets;
-  double cost = 0.0;
+  double cost = 0.0;  ///< comparable only among placements of the same step
 };
 
 /** \class Reservation
- * \brief Room that will be free for a gang that waits.
+ * \brief Capacity that becomes free in the future and is kept for a waiting gang.
  */
 struct Reservation {
-  Rooms rooms;           ///< by target
-  double untilMs = 0.0;  ///< time until then; what ends before may use it
+  Rooms capacities;      ///< reserved capacity by target
+  double untilMs = 0.0;  ///< time until it is free, ms; work that ends before may use it
 };
 
 /** \class Placer
- * \brief Chooses targets for the tasks of a step from the room that there is.
+ * \brief Chooses targets for the tasks of a step according to their free capacity.
  *
- * Tasks are packed onto the fullest target that holds them, so that whole targets stay free for tasks that need them.
- * Tasks of a step are alike, so the cheapest target is filled before the next one is looked at: the order costs one
- * look at each target instead of one for each task.
+ * Tasks are packed onto the fullest target that holds them (best fit), so that fully free targets remain for tasks
+ * that need them. All tasks of a step have the same demand, so the cheapest target is filled before the next one is
+ * considered: the cost of a target is computed once per step rather than once per task.
  */
 class Placer {
  public:
-  /** \param nominations by target: steps for which it is being freed \param keepWhole targets to be kept wholly free
-   * for priority 0 \param urgentLateChances by target: chance that urgent work would be late there; null says nothing
-   */
+  /** \param nominations by target: number of steps for which it is being freed
+   * \param keepWhole number of targets to be kept fully free for priority 0
+   * \param urgentLateChances by target: probability that urgent work would be late there; null if it is about the same
+   * on all targets */
   Placer(const TargetIndex& targets, const RunPlannerOptions& options, std::vector<unsigned> nominations,
          unsigned keepWhole, const std::vector<double>* urgentLateChances);
 
+  /** Adds a reservation, which is observed until the end of the pass. */
   void reserve(Reservation reservation) { m_reservations.push_back(std::move(reservation)); }
+  /** \returns the number of reservations. */
   std::size_t reservations() const { return m_reservations.size(); }
 
-  /** \returns places for as many tasks as there is room for among some targets. */
-  StepPlacement place(const StepDemand& demand, const std::vector<std::size_t>& among, const Rooms& rooms) const;
-  /** \returns places for all tasks within one group, or nothing: the cheapest rack, before a place across racks. */
+  /** \returns a placement of as many tasks as fit on the given targets. \param capacities free capacity by target */
+  StepPlacement place(const StepDemand& demand, const std::vector<std::size_t>& among, const Rooms& capacities) const;
+  /** \returns a placement of all tasks within one group, or nothing. The cheapest rack is preferred; targets of several
+   * racks are used only if no rack suffices. */
   std::optional<StepPlacement> placeWhole(const StepDemand& demand, const TargetGroups& groups,
-                                          const Rooms& rooms) const;
+                                          const Rooms& capacities) const;
 
-  /** \returns how many tasks of a step a target would get, if it is not kept whole for others. */
-  std::size_t capacityFor(const StepDemand& demand, std::size_t target, const Room& room) const;
-  /** \returns whether targets that are wholly free may be kept from the step. */
-  bool obeysHeadroom(const StepDemand& demand) const;
-  bool isWhole(std::size_t target, const Room& room) const;
+  /** \returns how many tasks of a step a target can receive, headroom aside. \param capacity its free capacity */
+  std::size_t fittingTasks(const StepDemand& demand, std::size_t target, const Room& capacity) const;
+  /** \returns whether the headroom for priority 0 applies to the step. */
+  bool respectsHeadroom(const StepDemand& demand) const;
+  /** \returns whether an open target with accelerators has all of them free. \param capacity its free capacity */
+  bool isFullyFree(std::size_t target, const Room& capacity) const;
+  /** \returns the number of targets that are kept fully free for priority 0. */
   unsigned keepWhole() const { return m_keepWhole; }
-  /** \returns cost of a target that comes late in the order for the step, whatever its room. */
+  /** \returns the part of a target's cost for the step that does not depend on its capacity or speed: the penalty of
+   * failures, and of being freed for another step. */
   double penaltyOf(const StepDemand& demand, std::size_t target) const;
-  /** \returns how likely it is that the step ends late on a target, 0 to 1, though it would not on a usual one. */
+  /** \returns by how much the probability that the step ends late is higher on a target than on a usual one, 0 to 1. */
   double lateChance(const StepDemand& demand, std::size_t target) const;
-  /** Takes room of a target; all of it where one run at a time is the limit. */
-  void occupy(Room& room, std::size_t target, const Room& need) const;
+  /** Subtracts a demand from a target's free capacity; all of the capacity if the target is limited to one run. */
+  void occupy(Room& capacity, std::size_t target, const Room& need) const;
 
  private:
-  Room spareFor(const StepDemand& demand, std::size_t target, const Room& room) const;
+  Room unreservedOn(const StepDemand& demand, std::size_t target, const Room& capacity) const;
   double speedCost(const StepDemand& demand, std::size_t target) const;
-  double stakeCost(const StepDemand& demand, std::size_t target, const Room& room) const;
-  double costOf(const StepDemand& demand, std::size_t target, const Room& room) const;
-  double freeAfter(const StepPlacement& placement, const StepDemand& demand, std::size_t rack,
-                   const Rooms& rooms) const;
-  std::size_t wholeTargets(const Rooms& rooms) const;
+  double crashCost(const StepDemand& demand, std::size_t target, const Room& capacity) const;
+  double costOf(const StepDemand& demand, std::size_t target, const Room& capacity) const;
+  double freeAcceleratorsAfter(const StepPlacement& placement, const StepDemand& demand, std::size_t rack,
+                               const Rooms& capacities) const;
+  std::size_t countFullyFree(const Rooms& capacities) const;
 
   const TargetIndex& m_targets;
   const RunPlannerOptions& m_options;
--- a/Courseloom/src/Scheduling/Room.cpp
+++ b/Courseloom/src/Scheduling/Room.cpp
@@ -10,9 +10,9 @@
 namespace internal {
 namespace {
 
-/** Lowers a count to what one kind of room allows. */
-void limit_to(std::size_t& count, std::int64_t room, std::int64_t need) {
-  if (need > 0) count = std::min(count, static_cast<std::size_t>(std::max<std::int64_t>(0, room) / need));
+/** Lowers a count to what the available amount of one resource allows. */
+void limit_to(std::size_t& count, std::int64_t available, std::int64_t need) {
+  if (need > 0) count = std::min(count, static_cast<std::size_t>(std::max<std::int64_t>(0, available) / need));
 }
 
 }  // namespace
@@ -37,7 +37,7 @@
 }
 
 std::size_t Room::fits(const Room& need, std::size_t most) const {
-  // Full targets are the rule under load, and a division costs more than a comparison.
+  // Under load most targets are full, and a comparison costs less than the divisions below.
   if (!holds(need)) return 0;
   std::size_t count = most;
   internal::limit_to(count, accelerators, need.accelerators);
@@ -52,15 +52,15 @@
 }
 
 Room roomOf(const schema::StepSpec& step) {
-  Room room = roomOf(step.need());
-  if (step.filler()) room.cpuMilli = 0;
-  return room;
+  Room need = roomOf(step.need());
+  if (step.filler()) need.cpuMilli = 0;
+  return need;
 }
 
 Room roomOf(const schema::RunOrder& order) {
-  Room room = roomOf(order.need());
-  if (order.filler()) room.cpuMilli = 0;
-  return room;
+  Room need = roomOf(order.need());
+  if (order.filler()) need.cpuMilli = 0;
+  return need;
 }
 
 }  // namespace courseloom
--- a/Courseloom/src/Scheduling/Room.h
+++ b/Courseloom/src/Scheduling/Room.h
@@ -12,28 +12,33 @@
 namespace courseloom {
 
 /** \class Room
- * \brief Free room of one target; may fall below zero where room is set aside for somebody.
+ * \brief Amounts of resources: the total or free capacity of a target, or the demand of a task. Free capacity falls
+ * below zero where more is reserved than is free.
  */
 struct Room {
-  std::int64_t cpuMilli = 0;
+  std::int64_t cpuMilli = 0;  ///< thousandths of a processor core
   std::int64_t memoryMb = 0;
   std::int64_t accelerators = 0;
 
+  /** Adds each amount of another one. */
   void add(const Room& other);
+  /** Subtracts each amount of another one. */
   void subtract(const Room& other);
+  /** \returns whether a demand fits; a resource of which nothing is demanded is not checked. */
   bool holds(const Room& need) const;
-  /** \returns how many times a need fits side by side, at most so many. */
+  /** \returns how many times a demand fits at once. \param most upper limit of the result */
   std::size_t fits(const Room& need, std::size_t most) const;
   auto operator<=>(const Room&) const = default;
 };
 
-/** Rooms of targets, by index among the planned ones. */
+/** Capacities of targets, by index among the planned targets. */
 using Rooms = std::vector<Room>;
 
+/** \returns the amounts of a resource message. */
 Room roomOf(const schema::Resources& resources);
-/** \returns what one task of a step takes; a filler takes no processor time that others could use. */
+/** \returns the demand of one task of a step; 0 cpuMilli for a filler, which uses only idle processor time. */
 Room roomOf(const schema::StepSpec& step);
-/** \returns the same of an order to start a run. */
+/** \returns the same for an order to start a run. */
 Room roomOf(const schema::RunOrder& order);
 
 }  // namespace courseloom
--- a/Courseloom/src/Scheduling/RoomMaker.cpp
+++ b/Courseloom/src/Scheduling/RoomMaker.cpp
@@ -12,7 +12,7 @@
 namespace internal {
 namespace {
 
-/** Price of a stop beside the work that is lost, core-seconds: what is free is never dearer. */
+/** Price of a stop in addition to the lost work, core-seconds, so that free capacity never costs more than a stop. */
 constexpr double StopPrice = 1.0;
 
 }  // namespace
@@ -21,30 +21,30 @@
 RoomMaker::RoomMaker(const std::vector<PlannedRun>& runs, const TargetIndex& targets, const Placer& placer,
                      const std::vector<bool>& endsSoon)
     : m_runs(runs), m_targets(targets), m_placer(placer), m_endsSoon(endsSoon) {
-  std::unordered_map<std::string_view, std::size_t> numbers;
+  std::unordered_map<std::string_view, std::size_t> gangIndexes;
   m_gangOf.reserve(runs.size());
   for (const PlannedRun& run : runs) {
-    const std::size_t next = numbers.size();
-    m_gangOf.push_back(run.gang.empty() ? 0 : numbers.try_emplace(run.gang, next).first->second);
+    const std::size_t next = gangIndexes.size();
+    m_gangOf.push_back(run.gang.empty() ? 0 : gangIndexes.try_emplace(run.gang, next).first->second);
   }
-  m_gangs = numbers.size();
+  m_gangs = gangIndexes.size();
   for (std::size_t r = 0; r < runs.size(); ++r) {
     if (runs[r].gang.empty()) m_gangOf[r] = m_gangs;
   }
-  m_gone.assign(runs.size(), false);
+  m_selected.assign(runs.size(), false);
 }
 
 void RoomMaker::stop(const std::vector<std::size_t>& victims) {
-  for (const std::size_t run : victims) m_gone[run] = true;
+  for (const std::size_t run : victims) m_selected[run] = true;
 }
 
-const RoomMaker::Stoppable& RoomMaker::stoppableFor(Rank rank, bool trustsEnds) {
-  const auto found = m_stoppable.find({rank, trustsEnds});
+const RoomMaker::Stoppable& RoomMaker::stoppableFor(Rank rank, bool reliesOnEnds) {
+  const auto found = m_stoppable.find({rank, reliesOnEnds});
   if (found != m_stoppable.end()) return found->second;
-  return m_stoppable[{rank, trustsEnds}] = makeStoppable(rank, trustsEnds);
+  return m_stoppable[{rank, reliesOnEnds}] = makeStoppable(rank, reliesOnEnds);
 }
 
-RoomMaker::Stoppable RoomMaker::makeStoppable(Rank rank, bool trustsEnds) const {
+RoomMaker::Stoppable RoomMaker::makeStoppable(Rank rank, bool reliesOnEnds) const {
   Stoppable stoppable;
   stoppable.byTarget.resize(m_targets.size());
   stoppable.byGang.resize(m_gangs);
@@ -52,8 +52,8 @@
   std::vector<double> gangPrices(m_gangs, 0.0);
   for (std::size_t r = 0; r < m_runs.size(); ++r) {
     const PlannedRun& run = m_runs[r];
-    const bool waitsForIt = m_endsSoon[r] && trustsEnds;
-    if (run.stopping || waitsForIt || !run.movable || run.rank <= rank) continue;
+    const bool aboutToEnd = m_endsSoon[r] && reliesOnEnds;
+    if (run.stopping || aboutToEnd || !run.movable || run.rank <= rank) continue;
     stoppable.byTarget[run.target].push_back(r);
     stoppable.prices[r] = run.lostWork + internal::StopPrice;
     if (m_gangOf[r] == m_gangs) continue;
@@ -74,149 +74,156 @@
 }
 
 /** \class RoomMaker::Group
- * \brief Targets of one group while places are cleared there one task after another.
+ * \brief Targets of one group during a selection, which places one task after another.
  */
 class RoomMaker::Group {
  public:
-  Group(const RoomMaker& maker, const StepDemand& demand, const std::vector<std::size_t>& among,
-        const Stoppable& stoppable, const Rooms& rooms)
-      : m_maker(maker), m_demand(demand), m_among(among), m_stoppable(stoppable), m_gone(maker.m_gone) {
-    m_rooms.reserve(among.size());
-    m_left.reserve(among.size());
+  Group(const RoomMaker& selector, const StepDemand& demand, const std::vector<std::size_t>& among,
+        const Stoppable& stoppable, const Rooms& capacities)
+      : m_selector(selector),
+        m_demand(demand),
+        m_among(among),
+        m_stoppable(stoppable),
+        m_selected(selector.m_selected) {
+    m_capacities.reserve(among.size());
+    m_remaining.reserve(among.size());
     for (const std::size_t target : among) {
-      m_rooms.push_back(rooms[target]);
-      m_left.push_back(maker.m_targets[target].open ? demand.leftOn(target) : 0);
+      m_capacities.push_back(capacities[target]);
+      m_remaining.push_back(selector.m_targets[target].open ? demand.remainingOn(target) : 0);
     }
     m_versions.assign(among.size(), 0);
-    for (std::size_t place = 0; place < among.size(); ++place) offer(place);
+    for (std::size_t position = 0; position < among.size(); ++position) updateOffer(position);
   }
 
-  /** \returns the least price at which one more task finds room, or nothing. */
+  /** \returns the lowest price of placing one more task, or nothing if none can be placed. */
   std::optional<double> leastPrice() {
-    while (!m_offers.empty() && m_offers.front().version != m_versions[m_offers.front().place]) dropOffer();
+    while (!m_offers.empty() && m_offers.front().version != m_versions[m_offers.front().position]) popOffer();
     if (m_offers.empty()) return std::nullopt;
     return m_offers.front().price;
   }
 
-  /** Clears room at the least price, and takes it. */
-  void takeCheapest(Cleared& cleared) {
-    const std::size_t place = m_offers.front().place;
-    dropOffer();
+  /** Places one more task at the lowest price. Requires that leastPrice() has just returned a price.
+   * \param selection the target and the runs to be stopped are added to it */
+  void selectCheapest(Selection& selection) {
+    const std::size_t position = m_offers.front().position;
+    popOffer();
     std::vector<std::size_t> victims;
-    clearing(place, &victims);
-    std::vector<std::size_t> changed{place};
+    findCheapestVictims(position, &victims);
+    std::vector<std::size_t> changed{position};
     for (const std::size_t r : victims) {
-      m_gone[r] = true;
-      const PlannedRun& run = m_maker.m_runs[r];
+      m_selected[r] = true;
+      const PlannedRun& run = m_selector.m_runs[r];
       const auto at = std::lower_bound(m_among.begin(), m_among.end(), run.target);
       if (at == m_among.end() || *at != run.target) continue;
       const auto other = static_cast<std::size_t>(at - m_among.begin());
-      m_rooms[other].add(run.need);
+      m_capacities[other].add(run.need);
       changed.push_back(other);
     }
-    m_maker.m_placer.occupy(m_rooms[place], m_among[place], m_demand.need);
-    if (m_left[place] != StepDemand::Unlimited) --m_left[place];
-    cleared.placement.targets.push_back(m_among[place]);
-    cleared.victims.insert(cleared.victims.end(), victims.begin(), victims.end());
+    m_selector.m_placer.occupy(m_capacities[position], m_among[position], m_demand.need);
+    if (m_remaining[position] != StepDemand::Unlimited) --m_remaining[position];
+    selection.placement.targets.push_back(m_among[position]);
+    selection.victims.insert(selection.victims.end(), victims.begin(), victims.end());
     std::sort(changed.begin(), changed.end());
     changed.erase(std::unique(changed.begin(), changed.end()), changed.end());
-    for (const std::size_t other : changed) offer(other);
+    for (const std::size_t other : changed) updateOffer(other);
   }
 
  private:
-  /** What room for one more task costs at a target; out of date once the target has a newer version. */
+  /** Price of placing one more task on a target; outdated once the target has a newer version. */
   struct Offer {
     double price = 0.0;
-    std::size_t place = 0;
+    std::size_t position = 0;
     unsigned version = 0;
     bool operator<(const Offer& other) const {
-      return price != other.price ? price > other.price : place > other.place;
+      return price != other.price ? price > other.price : position > other.position;
     }
   };
 
-  void dropOffer() {
+  void popOffer() {
     std::pop_heap(m_offers.begin(), m_offers.end());
     m_offers.pop_back();
   }
 
-  void offer(std::size_t place) {
-    ++m_versions[place];
-    if (m_left[place] == 0) return;
-    const std::optional<double> price = clearing(place, nullptr);
+  void updateOffer(std::size_t position) {
+    ++m_versions[position];
+    if (m_remaining[position] == 0) return;
+    const std::optional<double> price = findCheapestVictims(position, nullptr);
     if (!price) return;
-    m_offers.push_back({*price, place, m_versions[place]});
+    m_offers.push_back({*price, position, m_versions[position]});
     std::push_heap(m_offers.begin(), m_offers.end());
   }
 
-  /** \returns what is lost if a target is to hold one more task, the cheapest runs first, or nothing if it cannot.
-   * \param victims takes the runs that are stopped, if asked for */
-  std::optional<double> clearing(std::size_t place, std::vector<std::size_t>* victims) const {
-    const std::size_t target = m_among[place];
-    Room room = m_rooms[place];
-    // A place where the step ends late is worth as little as one where its own work is lost.
-    double price = m_maker.m_placer.penaltyOf(m_demand, target) +
-                   m_maker.m_placer.lateChance(m_demand, target) * m_demand.taskWork;
+  /** \returns the price of placing one more task on a target, where the cheapest runs are stopped first; nothing if the
+   * target cannot hold the task.
+   * \param position index of the target in the group
+   * \param victims the runs to be stopped are added here; may be null */
+  std::optional<double> findCheapestVictims(std::size_t position, std::vector<std::size_t>* victims) const {
+    const std::size_t target = m_among[position];
+    Room capacity = m_capacities[position];
+    // The step's own work counts as lost to the extent that it ends late on the target.
+    double price = m_selector.m_placer.penaltyOf(m_demand, target) +
+                   m_selector.m_placer.lateChance(m_demand, target) * m_demand.taskWork;
     std::vector<std::size_t> gangs;
     for (const std::size_t r : m_stoppable.byTarget[target]) {
-      if (room.holds(m_demand.need)) break;
-      const std::size_t gang = m_maker.m_gangOf[r];
-      const bool taken = std::find(gangs.begin(), gangs.end(), gang) != gangs.end();
-      if (m_gone[r] || taken) continue;  // taken with another member of its gang
+      if (capacity.holds(m_demand.need)) break;
+      const std::size_t gang = m_selector.m_gangOf[r];
+      const bool counted = std::find(gangs.begin(), gangs.end(), gang) != gangs.end();
+      if (m_selected[r] || counted) continue;  // already counted with another run of its gang
       price += m_stoppable.prices[r];
-      if (gang == m_maker.m_gangs) {
-        room.add(m_maker.m_runs[r].need);
+      if (gang == m_selector.m_gangs) {
+        capacity.add(m_selector.m_runs[r].need);
         if (victims != nullptr) victims->push_back(r);
         continue;
       }
       gangs.push_back(gang);
       for (const std::size_t member : m_stoppable.byGang[gang]) {
-        if (m_maker.m_runs[member].target == target) room.add(m_maker.m_runs[member].need);
+        if (m_selector.m_runs[member].target == target) capacity.add(m_selector.m_runs[member].need);
         if (victims != nullptr) victims->push_back(member);
       }
     }
-    if (!room.holds(m_demand.need)) return std::nullopt;
+    if (!capacity.holds(m_demand.need)) return std::nullopt;
     return price;
   }
 
-  const RoomMaker& m_maker;
+  const RoomMaker& m_selector;
   const StepDemand& m_demand;
-  const std::vector<std::size_t>& m_among;  ///< ascending
+  const std::vector<std::size_t>& m_among;  ///< indexes of targets, ascending
   const Stoppable& m_stoppable;
-  std::vector<bool> m_gone;
-  Rooms m_rooms;                    ///< by place in the group
-  std::vector<std::size_t> m_left;  ///< tasks that a target may still get
+  std::vector<bool> m_selected;
+  Rooms m_capacities;                    ///< by index in the group
+  std::vector<std::size_t> m_remaining;  ///< tasks that a target may still receive, by index in the group
   std::vector<unsigned> m_versions;
-  std::vector<Offer> m_offers;  ///< a heap
+  std::vector<Offer> m_offers;  ///< heap with the lowest price at the front
 };
 
-std::optional<RoomMaker::Cleared> RoomMaker::clearWithin(const StepDemand& demand,
-                                                         const std::vector<std::size_t>& among,
-                                                         const Stoppable& stoppable, double worth, double limit,
-                                                         const Rooms& rooms) {
-  Group group(*this, demand, among, stoppable, rooms);
-  Cleared cleared;
-  while (cleared.placement.targets.size() < demand.tasks) {
+std::optional<RoomMaker::Selection> RoomMaker::selectWithin(const StepDemand& demand,
+                                                            const std::vector<std::size_t>& among,
+                                                            const Stoppable& stoppable, double maxLoss, double limit,
+                                                            const Rooms& capacities) {
+  Group group(*this, demand, among, stoppable, capacities);
+  Selection selection;
+  while (selection.placement.targets.size() < demand.tasks) {
     const std::optional<double> price = group.leastPrice();
-    // Tasks of their own take what is worth it; a gang needs room for all.
-    if (!price || *price > worth) {
+    // Tasks outside a gang are placed as far as the price allows; a gang needs places for all of its tasks.
+    if (!price || *price > maxLoss) {
       if (demand.gang) return std::nullopt;
       break;
     }
-    cleared.placement.cost += *price;
-    if (cleared.placement.cost >= limit) return std::nullopt;
-    group.takeCheapest(cleared);
+    selection.placement.cost += *price;
+    if (selection.placement.cost >= limit) return std::nullopt;
+    group.selectCheapest(selection);
   }
-  if (cleared.placement.targets.empty()) return std::nullopt;
-  return cleared;
+  if (selection.placement.targets.empty()) return std::nullopt;
+  return selection;
 }
 
-std::optional<RoomMaker::Cleared> RoomMaker::clear(const StepDemand& demand, const TargetGroups& groups,
-                                                   bool trustsEnds, double worth, const Rooms& rooms) {
-  const Stoppable& stoppable = stoppableFor(demand.rank, trustsEnds);
-  std::optional<Cleared> best;
+std::optional<RoomMaker::Selection> RoomMaker::select(const StepDemand& demand, const TargetGroups& groups,
+                                                      bool reliesOnEnds, double maxLoss, const Rooms& capacities) {
+  const Stoppable& stoppable = stoppableFor(demand.rank, reliesOnEnds);
+  std::optional<Selection> best;
   const auto consider = [&](const std::vector<std::size_t>& group) {
     const double limit = best ? best->placement.cost : std::numeric_limits<double>::max();
-    std::optional<Cleared> next = clearWithin(demand, group, stoppable, worth, limit, rooms);
+    std::optional<Selection> next = selectWithin(demand, group, stoppable, maxLoss, limit, capacities);
     if (next) best = std::move(next);
   };
   for (const TargetGroups::Rack& rack : groups.racks) consider(rack.targets);
--- a/Courseloom/src/Scheduling/RunPlan.cpp
+++ b/Courseloom/src/Scheduling/RunPlan.cpp
@@ -19,20 +19,20 @@
 namespace internal {
 namespace {
 
-/** \returns the starts that pass a test; of a gang all or none. */
-std::vector<RunPlan::Start> whole_starts(const std::vector<RunPlan::Start>& starts,
-                                         const std::vector<PlannedStep>& steps,
-                                         const std::function<bool(const RunPlan::Start&)>& passes) {
+/** \returns the starts that fulfil a predicate; for a gang either all of its starts or none. */
+std::vector<RunPlan::Start> filter_starts(const std::vector<RunPlan::Start>& starts,
+                                          const std::vector<PlannedStep>& steps,
+                                          const std::function<bool(const RunPlan::Start&)>& predicate) {
   std::vector<RunPlan::Start> passing;
-  std::set<std::size_t> brokenGangs;  // by index among the steps
+  std::set<std::size_t> incompleteGangs;  // indexes among the steps
   for (const RunPlan::Start& start : starts) {
-    if (passes(start)) {
+    if (predicate(start)) {
       passing.push_back(start);
     } else if (steps[start.step].isGang()) {
-      brokenGangs.insert(start.step);
+      incompleteGangs.insert(start.step);
     }
   }
-  std::erase_if(passing, [&](const RunPlan::Start& start) { return brokenGangs.count(start.step) > 0; });
+  std::erase_if(passing, [&](const RunPlan::Start& start) { return incompleteGangs.count(start.step) > 0; });
   return passing;
 }
 
@@ -42,22 +42,22 @@
 std::vector<RunPlan::Start> startsInReach(const RunPlan& plan, const std::vector<PlannedStep>& steps,
                                           const std::function<bool(std::size_t target)>& inReach,
                                           std::set<std::size_t>& withheld) {
-  return internal::whole_starts(plan.starts, steps, [&](const RunPlan::Start& start) {
+  return internal::filter_starts(plan.starts, steps, [&](const RunPlan::Start& start) {
     if (inReach(start.target)) return true;
     withheld.insert(start.target);
     return false;
   });
 }
 
-bool stillWaits(const PlannedStep& step) {
+bool isWaiting(const PlannedStep& step) {
   return step.workflow != nullptr && !step.workflow->ended() && !step.workflow->stepDone(step.key);
 }
 
 void dropOutdated(RunPlan& plan, const std::vector<PlannedStep>& steps,
                   const std::function<bool(std::size_t target)>& isOpen) {
-  std::erase_if(plan.stops, [&](const RunPlan::Stop& stop) { return !stillWaits(steps[stop.forStep]); });
-  std::erase_if(plan.starts, [&](const RunPlan::Start& start) { return !stillWaits(steps[start.step]); });
-  plan.starts = internal::whole_starts(plan.starts, steps, [&](const RunPlan::Start& start) {
+  std::erase_if(plan.stops, [&](const RunPlan::Stop& stop) { return !isWaiting(steps[stop.forStep]); });
+  std::erase_if(plan.starts, [&](const RunPlan::Start& start) { return !isWaiting(steps[start.step]); });
+  plan.starts = internal::filter_starts(plan.starts, steps, [&](const RunPlan::Start& start) {
     const PlannedStep& step = steps[start.step];
     const TaskState* task = step.workflow->task({step.key.occurrence, step.key.step, start.task});
     const bool waits = task == nullptr || (!task->done && task->active.empty());
--- a/Courseloom/src/Scheduling/RunPlan.h
+++ b/Courseloom/src/Scheduling/RunPlan.h
@@ -17,17 +17,19 @@
 
 namespace courseloom {
 
-/** Order in which work is served and may make room for itself: lower goes first. */
+/** Order in which steps are served, and which of them may preempt runs of others: a lower rank is served first. */
 using Rank = std::uint32_t;
-/** Work of priority 0 within its tenant's guarantee; may stop whatever is not. */
+/** Work of priority 0 within its tenant's guarantee; it may stop runs of every other rank. */
 inline constexpr Rank GuaranteedRank = 0;
-/** Other work of priority 0; may stop work of lower priority. */
+/** Other work of priority 0; it may stop runs of lower priority. */
 inline constexpr Rank UrgentRank = 1;
-/** \returns the rank of a workflow. \param guaranteed whether it lies within its tenant's guarantee */
+/** \returns the rank of a workflow.
+ * \param priority the workflow's priority; 0 is the highest
+ * \param guaranteed whether the workflow lies within its tenant's guarantee */
 Rank rankOf(std::uint32_t priority, bool guaranteed);
 
 /** \class PlannedTarget
- * \brief One target as the planner sees it.
+ * \brief State of one target as input of a planning pass.
  */
 struct PlannedTarget {
   std::string id;
@@ -35,134 +37,152 @@
   std::string service;
   std::string rack;
   std::set<std::string> labels;
-  Room capacity;
-  bool open = false;     ///< may be given new runs
-  bool awaited = true;   ///< if it is not open, it is expected to be soon
-  bool single = false;   ///< may have one run at a time: it has yet to show that it works
-  double penalty = 0.0;  ///< added to its cost: failing targets come last
-  TargetPace pace;       ///< how slow it is
+  Room capacity;         ///< total capacity
+  bool open = false;     ///< whether new runs may be started on it
+  bool awaited = true;   ///< if it is not open: whether it is expected to open soon
+  bool single = false;   ///< limited to one run at a time, until a run shows that it works
+  double penalty = 0.0;  ///< added to its placement cost, so that failing targets are chosen last
+  TargetPace pace;       ///< its slowdown
 };
 
 /** \class PlannedRun
- * \brief One active run as the planner sees it.
+ * \brief State of one active run as input of a planning pass.
  */
 struct PlannedRun {
   RunKey key;
-  std::size_t target = 0;
+  std::size_t target = 0;  ///< index among the planned targets
   Room need;
   Rank rank = UrgentRank;
-  bool stopping = false;
-  bool movable = true;       ///< may be stopped to make room
-  std::string gang;          ///< names the gang's run; empty for a task of its own
-  double lostWork = 0.0;     ///< core-seconds since its last checkpoint
-  double remainingMs = 0.0;  ///< expected time until it ends
+  bool stopping = false;     ///< whether a stop has been ordered
+  bool movable = true;       ///< whether it may be preempted
+  std::string gang;          ///< identifies the gang's run; empty for a task outside a gang
+  double lostWork = 0.0;     ///< core-seconds of work since its last checkpoint
+  double remainingMs = 0.0;  ///< expected time until it ends, ms
 };
 
 /** \class PlannedStep
- * \brief Tasks of one step that wait for room.
+ * \brief The tasks of one step that wait for free capacity.
  */
 struct PlannedStep {
   const WorkflowState* workflow = nullptr;
   StepKey key;
-  std::vector<std::uint32_t> tasks;  ///< indexes that wait; for a gang all of them
+  std::vector<std::uint32_t> tasks;  ///< indexes of the waiting tasks; all tasks of a gang
   Rank rank = UrgentRank;
-  double objectiveMs = 0.0;  ///< wall clock by which the workflow should be done
-  double worthlessMs = 0.0;  ///< wall clock from which its end is worth nothing; 0 is never
-  double taskWork = 0.0;     ///< core-seconds of one task, as estimated
-  double estimateMs = 0.0;   ///< expected run time of one task
-  double waitedMs = 0.0;     ///< time since the step became ready
+  double objectiveMs = 0.0;  ///< wall clock by which the workflow should end, ms since 1970
+  double worthlessMs = 0.0;  ///< wall clock after which its result has no value, ms since 1970; 0: never
+  double taskWork = 0.0;     ///< estimated work of one task, core-seconds
+  double estimateMs = 0.0;   ///< expected run time of one task, ms
+  double waitedMs = 0.0;     ///< time since the step became ready, ms
   bool isUrgent() const { return rank <= UrgentRank; }
   bool isGang() const { return workflow->step(key.step).gang(); }
-  std::set<std::string> avoided;             ///< targets on which it has failed: used only if no other could hold it
-  std::map<std::string, unsigned> placedOn;  ///< tasks of this step by target id, for the limit on one target
-  /** Tasks under which targets have crashed: each goes to a target of its own where little is at stake, and nothing
-   * else is started there in the same pass. */
+  std::set<std::string> avoided;  ///< targets on which it has failed; used only if no other target could hold it
+  std::map<std::string, unsigned> placedOn;  ///< number of its tasks by target id, for the limit per target
+  /** Whether its tasks are suspect: each gets a trial start on a separate target, preferably one with few runs that a
+   * crash would end, and nothing else is started on that target in the same pass. */
   bool trial = false;
-  /** Targets that may run it, with their tickets; nothing where no permission is needed. */
+  /** Admission tickets by id of the targets that may run it; no value if it needs no admission. */
   std::optional<std::map<std::string, std::string>> tickets;
 };
 
-/** What a step's workflow can still earn; within a rank, lower goes first. */
+/** Whether a step's workflow can still end by its objective, or before its result has no value. Within a rank, steps of
+ * a lower prospect are served first. */
 enum class Prospect : std::uint8_t { InTime, Late, Worthless };
 /** \returns the prospect of a step that starts now. \param nowMs wall clock, ms since 1970 */
 Prospect prospectOf(const PlannedStep& step, double nowMs);
 
 /** \class RunPlan
- * \brief What to start and what to stop.
+ * \brief The runs to start and the runs to stop, as decided by one planning pass.
  */
 struct RunPlan {
+  /** Start of a task's run on a target. */
   struct Start {
     std::size_t step = 0;  ///< index among the given steps
     std::uint32_t task = 0;
-    std::size_t target = 0;
+    std::size_t target = 0;  ///< index among the given targets
   };
+  /** Stop of a run whose capacity a step needs. */
   struct Stop {
     RunKey run;
-    std::size_t forStep = 0;  ///< index among the given steps: what the room is for
+    std::size_t forStep = 0;  ///< index among the given steps: the step that gets the freed capacity
   };
   std::vector<Start> starts;
   std::vector<Stop> stops;
 };
 
-/** \returns the starts whose targets are within reach now; of a gang all or none.
- * \param withheld takes the targets, by index, on which a start has to wait */
+/** \returns the starts whose targets can be reached now; for a gang either all of its starts or none.
+ * \param inReach whether the target with an index can be reached
+ * \param withheld the indexes of targets that cannot be reached and for which the plan has a start are added here */
 std::vector<RunPlan::Start> startsInReach(const RunPlan& plan, const std::vector<PlannedStep>& steps,
                                           const std::function<bool(std::size_t target)>& inReach,
                                           std::set<std::size_t>& withheld);
 
-/** \returns whether a step's workflow goes on and its step is not done. */
-bool stillWaits(const PlannedStep& step);
+/** \returns whether a step's workflow is known and has not ended, and the step is not done. */
+bool isWaiting(const PlannedStep& step);
 
-/** Takes out of a plan what no longer fits what was committed while it was made: starts of tasks that are done or run,
- * starts on targets that were closed, of a gang all of them, and all that was for a step that no longer waits.
- * \param steps with the workflows as they are now; null for one that is gone */
+/** Removes decisions from a plan that changes committed during planning have made outdated: starts of tasks that are
+ * done or already have a run, starts on targets that are no longer open, and starts and stops for a step that no longer
+ * waits. If one start of a gang is removed, all of its starts are.
+ * \param steps the planned steps, with the current states of their workflows; null for one that no longer exists
+ * \param isOpen whether the target with an index is open */
 void dropOutdated(RunPlan& plan, const std::vector<PlannedStep>& steps,
                   const std::function<bool(std::size_t target)>& isOpen);
 
 /** \class RunPlannerOptions
- * \brief Switches with which proofs and benches turn one mechanism off; all on in production.
+ * \brief Parameters of the planner. All mechanisms are on in production; tests and benchmarks turn one off at a time.
  */
 struct RunPlannerOptions {
-  bool preemption = true;  ///< priority 0 makes room for itself
-  /** Work of any priority above 0 that waited this many of its run times is served like that of priority 1, so that
-   * lasting overload starves no class; 0 is never. */
+  bool preemption = true;  ///< work of priority 0 may stop runs of lower rank
+  /** A step whose priority number is above 0 gets the rank of priority 1 once it has waited this multiple of its
+   * estimated run time, so that lasting overload starves no class; 0: never. */
   double ageAfterEstimates = 2.0;
-  bool prospects = true;              ///< what can still be in time goes before what is late already
-  unsigned reservations = 8;          ///< gangs that wait and keep their places against later work
-  double spreadAfterEstimates = 2.0;  ///< a gang of one rack waits this many run times before it spreads, and is slower
-  double reserveAfterMs = 1000.0;     ///< wait after which a gang gets a reservation
-  double backfillMargin = 2.0;        ///< later work may use reserved room if this many estimates of it end in time
-  bool stickyReservations = true;     ///< a gang keeps the targets that it once chose to wait for
-  bool patience = true;       ///< priority 0 waits for runs that end by themselves in time, rather than stop others
-  double endsSoonMs = 500.0;  ///< a run that ends within this time is not worth stopping
-  double endsSoonTrustMs = 1000.0;  ///< a run that should have ended for this long is no longer counted on
-  /** Wait after which guaranteed work counts on no end any more and stops what it needs: the promise, less a stop. */
+  bool prospects = true;      ///< steps that can still end in time are served before late ones
+  unsigned reservations = 8;  ///< largest number of waiting gangs that hold a reservation
+  /** Multiple of its estimated run time that a gang waits for space in one rack before it may be spread over several
+   * racks, where it runs slower. */
+  double spreadAfterEstimates = 2.0;
+  double reserveAfterMs = 1000.0;  ///< wait after which a gang gets a reservation, ms
+  /** Other work may use reserved capacity (backfill) if this multiple of its estimated run time ends before the
+   * reservation begins. */
+  double backfillMargin = 2.0;
+  bool stickyReservations = true;  ///< a gang keeps its reserved targets from one pass to the next
+  /** Work of priority 0 waits for runs that are expected to end in time, instead of stopping others. */
+  bool patience = true;
+  double endsSoonMs = 500.0;  ///< a run expected to end within this time, ms, is about to end: others wait for it
+  /** Time, ms, for which a run may be expected to end soon; after that its end is not relied on any more. */
+  double endsSoonTrustMs = 1000.0;
+  /** Wait, ms, after which guaranteed work relies on no expected end any more and stops the runs in its way: the wait
+   * that is promised at most, less the time that a stop takes. */
   double guaranteedTrustMs = 2300.0;
-  double patienceShare = 0.5;        ///< share of the time to its objective that it may wait so
-  double urgentPatienceShare = 0.8;  ///< the same outside guarantees, which no promise bounds
-  double patienceLimitMs = 1400.0;   ///< longest wait after which others are stopped for it
-  /** Work that may be lost for each unit of urgent work outside guarantees; within them any may be. */
+  /** Share of its slack (time to its objective less its estimated run time) that guaranteed work may wait for ends. */
+  double patienceShare = 0.5;
+  double urgentPatienceShare = 0.8;  ///< the same for urgent work outside guarantees, which has no promised start
+  double patienceLimitMs = 1400.0;   ///< longest total wait of guaranteed work before runs are stopped for it, ms
+  /** Work of others that may be lost per unit of urgent work outside guarantees; guaranteed work has no such limit. */
   double lossRatio = 0.8;
-  /** The same for a gang of any other priority that has waited, at the cost of lower ones; 0 is never. */
+  /** The same for a waiting gang of any other priority, which may stop runs of lower rank; 0: it stops none. */
   double gangLossRatio = 0.0;
-  double gangStopsAfterMs = 1000.0;  ///< wait after which such a gang stops others
-  unsigned gangStopsAtOnce = 4;      ///< such gangs that make room for themselves in one plan
-  bool nominations = true;           ///< a target that is being freed for a step is the last choice of others
-  bool yields = true;                ///< urgent work that is late already stops nothing outside its guarantee
-  bool speeds = true;                ///< urgent work goes to targets on which it ends in time, other work to slow ones
-  /** Cost of a place where work is sure to end late that would be in time on a usual target, in the accelerators that
-   * packing leaves free. */
+  double gangStopsAfterMs = 1000.0;  ///< wait after which such a gang may stop others, ms
+  unsigned gangStopsAtOnce = 4;      ///< largest number of such gangs per plan
+  bool nominations = true;           ///< a target that is being freed for a step is a last choice for other steps
+  bool yields = true;                ///< work outside guarantees that would be late stops no runs
+  /** Urgent work is placed on targets where it ends in time, other work preferably on slow targets. */
+  bool speeds = true;
+  /** Cost of a target on which work is sure to end late although it would end in time on a usual target, in units of
+   * one accelerator left free on the target. */
   double lateCost = 30.0;
-  double fastGain = 2.0;    ///< cost of a place for urgent work for each unit of its target's slowness
-  double slowFirst = 10.0;  ///< the same for other work, taken off: fast targets stay free for urgent work
-  /** Guaranteed work that has waited this long begins wherever there is room: its promise is when it begins. */
-  double guaranteedChoiceMs = 500.0;
-  bool slowByNeed = true;  ///< slow is what urgent work would be late on, rather than what is below the mean
-  /** Time after which a stopped run is gone, ms: urgent work outside guarantees that would be late after it stops
-   * nothing; 0 leaves it out of account. */
+  double slowTargetCost = 2.0;  ///< cost of a target for urgent work per unit of the target's slowdown
+  double slowFirst = 10.0;      ///< subtracted for other work per unit of slowdown or, with slowByNeed, of the
+                                ///< chance that urgent work is late: fast targets stay free for urgent work
+  /** Wait, ms, after which guaranteed work may be placed on any target with free capacity, fast or slow: its promise
+   * concerns only the time of its start. */
+  double guaranteedAnyTargetAfterMs = 500.0;
+  /** Other work prefers targets on which urgent work would be late, rather than targets of a high slowdown. */
+  bool slowByNeed = true;
+  /** Time from a stop order to the end of the run, ms. With `yields`, work outside guarantees that would be late after
+   * this time stops no runs; 0 ignores it. */
   double stopMs = 0.0;
-  bool headroom = true;            ///< whole targets are kept free for priority 0
-  double headroomWaitMs = 4000.0;  ///< wait after which other work may take them all the same
+  bool headroom = true;            ///< fully free targets are kept for priority 0
+  double headroomWaitMs = 4000.0;  ///< wait after which other work may use these targets, ms
 };
 
 }  // namespace courseloom
--- a/Courseloom/src/Scheduling/RunPlanner.h
+++ b/Courseloom/src/Scheduling/RunPlanner.h
@@ -20,40 +20,42 @@
 namespace courseloom {
 
 /** \class RunPlanner
- * \brief Decides which waiting tasks start where, and which runs make room for work of priority 0.
+ * \brief Decides on which targets waiting tasks start, and which runs are stopped for steps of higher rank.
  *
- * A plain class without clock, input or output. Steps are served by rank, then by what they can still earn, then by the
- * time by which they should be done. A gang is placed whole or not at all. Where tasks go is chosen by Placer, how long
- * room takes to come by itself by EndForecast, what is stopped for it by RoomMaker.
+ * The class uses no clock and does no input or output. Steps are served in the order of rank, then prospect, then
+ * objective. A gang is placed as a whole or not at all. Placer chooses the targets of tasks, EndForecast predicts when
+ * enough capacity becomes free without stopping a run, and RoomMaker chooses the runs to stop.
  */
 class RunPlanner {
  public:
+  /** \param options parameters of all passes */
   explicit RunPlanner(RunPlannerOptions options = {}) : m_options(options) {}
 
-  /** Plans in one go. \param keepWhole targets to be kept wholly free for priority 0 \param nowMs wall clock, ms since
-   * 1970 */
+  /** Makes a whole pass. \param keepWhole number of targets to be kept fully free for priority 0
+   * \param nowMs wall clock, ms since 1970 */
   RunPlan plan(const std::vector<PlannedTarget>& targets, const std::vector<PlannedRun>& runs,
                const std::vector<PlannedStep>& steps, unsigned keepWhole = 0, double nowMs = 0.0);
 
-  /** Begins a pass that is made in parts. The vectors have to last until it is finished; what the steps' workflows say
-   * is read here, so that those may change meanwhile. */
+  /** Begins a pass that is made in parts. The vectors have to stay valid until finish(). The workflows of the steps are
+   * read only here, so they may change during the pass. \param keepWhole, nowMs as for plan() */
   void begin(const std::vector<PlannedTarget>& targets, const std::vector<PlannedRun>& runs,
              const std::vector<PlannedStep>& steps, unsigned keepWhole, double nowMs);
-  /** Serves steps, the most urgent first, until all are served or time is up. \returns whether all are served
-   * \param timeIsUp asked after each step */
+  /** Serves steps in their order until all are served or the time limit is reached; called between begin() and
+   * finish(). \param timeIsUp called after each step; true ends this call \returns whether all steps are served */
   bool advance(const std::function<bool()>& timeIsUp);
-  /** \returns by step the workflow that it belongs to. */
+  /** \returns the id of each step's workflow, in the order of the given steps; called between begin() and finish(). */
   std::vector<std::string> workflowsOfSteps() const;
-  /** Ends a pass. \returns what was decided in it */
+  /** Ends a pass. \returns the decisions of the pass */
   RunPlan finish();
 
  private:
-  /** Slowness that urgent work is taken to bear before any was seen: half as long again as usual. */
+  /** Initial slowdown up to which urgent work is assumed to end in time: 0.4, a run time about 1.5 times the usual. */
   static constexpr double FirstUrgentLimit = 0.4;
+  /** Identity of a step across passes: its workflow's id, and its key there. */
   using StepName = std::pair<std::string, StepKey>;
   using TargetIds = std::map<StepName, std::set<std::string>>;
 
-  /** What lasts for one pass. */
+  /** State of one pass. */
   struct Pass {
     Pass(const std::vector<PlannedTarget>& givenTargets, const std::vector<PlannedRun>& givenRuns,
          const std::vector<PlannedStep>& givenSteps);
@@ -63,59 +65,59 @@
     TargetIndex targets;
     std::vector<StepDemand> demands;  ///< by step
     std::vector<StepName> names;      ///< by step
-    std::vector<std::size_t> order;   ///< steps, the one to be served first at the front
-    std::size_t next = 0;             ///< place in the order
-    std::vector<bool> endsSoon;       ///< by run: expected to end soon, and not for too long
-    Rooms free;                       ///< now
-    Rooms later;                      ///< once what is being stopped, or is about to end, has ended
-    Rooms sure;                       ///< once what is being stopped has ended
-    unsigned gangStops = 0;           ///< gangs outside priority 0 that made room
+    std::vector<std::size_t> order;   ///< step indexes in the order of serving
+    std::size_t next = 0;             ///< position in the order of the next step to be served
+    std::vector<bool> endsSoon;       ///< by run: expected to end soon, for no longer than endsSoonTrustMs
+    Rooms free;                       ///< by target: free capacity now
+    Rooms freeAfterEnds;              ///< the same after the runs that are being stopped or end soon have ended
+    Rooms freeAfterStops;             ///< the same after the runs that are being stopped have ended
+    unsigned gangStops = 0;           ///< number of gangs outside priority 0 for which runs were to be stopped
     double nowMs = 0.0;
     std::unique_ptr<Placer> placer;
     std::unique_ptr<EndForecast> forecast;
-    std::unique_ptr<RoomMaker> roomMaker;
-    ShapeMemory memory;
-    TargetIds nominating;  ///< targets that are being freed for a step
-    TargetIds waitingFor;  ///< targets that a gang waits for
+    std::unique_ptr<RoomMaker> victimSelector;
+    ShapeMemory cache;
+    TargetIds nominatedTargets;  ///< ids of the targets that are being freed for a step
+    TargetIds reservedTargets;   ///< ids of the targets that are reserved for a gang
     RunPlan plan;
   };
 
   void readSteps();
-  void age(StepDemand& demand) const;
-  void learnUrgentLimit();
+  void applyAging(StepDemand& demand) const;
+  void updateUrgentLimit();
   void orderSteps();
-  std::vector<unsigned> readNominations();
-  void findEndsSoon();
-  void fillRooms();
-  ShapeMemory::Entry* memoryOf(const StepDemand& demand);
-  bool spreads(const StepDemand& demand) const;
+  std::vector<unsigned> loadNominations();
+  void findRunsEndingSoon();
+  void computeFreeCapacities();
+  ShapeMemory::Entry* cacheEntryFor(const StepDemand& demand);
+  bool maySpread(const StepDemand& demand) const;
   void serve(StepDemand& demand);
-  void servePieces(StepDemand& demand);
+  void serveTasks(StepDemand& demand);
   void serveGang(StepDemand& demand);
   std::optional<StepPlacement> placeNow(const StepDemand& demand);
   const TargetGroups& groupsFor(const StepDemand& demand);
   TargetGroups makeGroups(const StepDemand& demand) const;
-  double heldUpMs(const StepDemand& demand) const;
+  double reservationDelayMs(const StepDemand& demand) const;
   void occupy(std::size_t target, const Room& need);
   void close(std::size_t target);
-  void take(StepDemand& demand, const StepPlacement& placement);
-  void setAside(const StepDemand& demand, const StepPlacement& placement);
-  bool waitsInPeace(const StepDemand& demand);
+  void addStarts(StepDemand& demand, const StepPlacement& placement);
+  void nominateTargets(const StepDemand& demand, const StepPlacement& placement);
+  bool waitForEnds(const StepDemand& demand);
   bool preempt(const StepDemand& demand);
   bool preemptForGang(const StepDemand& demand);
-  double worthStopping(const StepDemand& demand) const;
-  bool trustsEnds(const StepDemand& demand) const;
+  double acceptableLoss(const StepDemand& demand) const;
+  bool reliesOnEnds(const StepDemand& demand) const;
   void stop(const StepDemand& demand, const std::vector<std::size_t>& victims);
   void reserve(const StepDemand& demand);
-  TargetList waitedFor(const StepDemand& demand) const;
+  TargetList lastReservedTargets(const StepDemand& demand) const;
 
   RunPlannerOptions m_options;
   std::unique_ptr<Pass> m_pass;
-  TargetGroups m_ownGroups;                 ///< of a step that shares its targets with no other
-  TargetIds m_nominated;                    ///< as of the last pass
-  TargetIds m_waitedFor;                    ///< as of the last pass
-  double m_urgentLimit = FirstUrgentLimit;  ///< slowness that fresh urgent work lately bore
-  std::map<RunKey, double> m_soonSince;     ///< wall clock from which a run is expected to end soon
+  TargetGroups m_unsharedGroups;            ///< target groups of the step being served, if its targets are not shared
+  TargetIds m_lastNominated;                ///< targets being freed, of the last pass
+  TargetIds m_lastReserved;                 ///< reserved targets, of the last pass
+  double m_urgentLimit = FirstUrgentLimit;  ///< moving average of the slowdown that new urgent work allows
+  std::map<RunKey, double> m_soonSince;     ///< wall clock since when a run is expected to end soon, ms since 1970
 };
 
 }  // namespace courseloom
--- a/Courseloom/src/Scheduling/RunPlannerWaiting.cpp
+++ b/Courseloom/src/Scheduling/RunPlannerWaiting.cpp
@@ -1,8 +1,8 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// The part of RunPlanner for work that found no room: it waits for what ends, stops runs of lower rank, or keeps a
-// place in time.
+// The part of RunPlanner for steps that found no free capacity: they wait for runs to end, stop runs of lower rank, or
+// reserve capacity that becomes free in the future.
 
 #include <algorithm>
 #include <limits>
@@ -11,37 +11,39 @@
 
 namespace courseloom {
 
-/** Keeps room that is being freed from later steps. */
-void RunPlanner::setAside(const StepDemand& demand, const StepPlacement& placement) {
+/** Keeps capacity that is being freed for a step from steps that are served after it. */
+void RunPlanner::nominateTargets(const StepDemand& demand, const StepPlacement& placement) {
   for (const std::size_t target : placement.targets) {
     occupy(target, demand.need);
-    m_pass->nominating[m_pass->names[demand.step]].insert(m_pass->targets[target].id);
+    m_pass->nominatedTargets[m_pass->names[demand.step]].insert(m_pass->targets[target].id);
   }
 }
 
-/** \returns whether enough runs end by themselves soon enough; their room is set aside then. */
-bool RunPlanner::waitsInPeace(const StepDemand& demand) {
+/** \returns whether enough runs are expected to end soon enough without a stop; their capacity is then kept for the
+ * step. */
+bool RunPlanner::waitForEnds(const StepDemand& demand) {
   if (!m_options.patience) return false;
   const double slackMs = demand.objectiveMs - m_pass->nowMs - demand.estimateMs;
-  const bool bound = demand.rank == GuaranteedRank;
-  const double budgetMs = bound
+  const bool guaranteed = demand.rank == GuaranteedRank;
+  const double budgetMs = guaranteed
                               ? std::min(m_options.patienceShare * slackMs, m_options.patienceLimitMs - demand.waitedMs)
                               : m_options.urgentPatienceShare * slackMs;
-  ShapeMemory::Entry* memory = memoryOf(demand);
-  const ShapeMemory::Vain question{demand.tasks, heldUpMs(demand), budgetMs, 0};
-  if (memory != nullptr && memory->wait && memory->wait->covers(question)) return false;
+  ShapeMemory::Entry* cached = cacheEntryFor(demand);
+  const ShapeMemory::FailedQuery query{demand.tasks, reservationDelayMs(demand), budgetMs, 0};
+  if (cached != nullptr && cached->wait && cached->wait->covers(query)) return false;
   const std::optional<EndForecast::Wait> wait =
       m_pass->forecast->waitFor(demand, groupsFor(demand), m_pass->free, budgetMs);
   if (wait) {
-    setAside(demand, wait->placement);
+    nominateTargets(demand, wait->placement);
     return true;
   }
-  if (memory != nullptr) ShapeMemory::remember(memory->wait, question);
+  if (cached != nullptr) ShapeMemory::recordFailure(cached->wait, query);
   return false;
 }
 
-/** A gang finds no place among single tasks, which take each accelerator that becomes free; it may stop those of lower
- * priority where little is lost. */
+/** Lets a waiting gang outside priority 0 stop runs of lower rank if little work is lost. Without this, single tasks
+ * occupy each accelerator as soon as it becomes free, and a gang finds no place. \returns whether the gang will get
+ * capacity */
 bool RunPlanner::preemptForGang(const StepDemand& demand) {
   const bool mayStop = m_options.preemption && m_options.gangLossRatio > 0.0 && !demand.isUrgent();
   if (!mayStop || demand.waitedMs < m_options.gangStopsAfterMs) return false;
@@ -50,8 +52,8 @@
   return preempt(demand);
 }
 
-/** \returns the work of others, core-seconds, that may be lost for one task of a step. */
-double RunPlanner::worthStopping(const StepDemand& demand) const {
+/** \returns the work of other runs, core-seconds, that may be lost for one task of a step. */
+double RunPlanner::acceptableLoss(const StepDemand& demand) const {
   if (demand.rank == GuaranteedRank) return std::numeric_limits<double>::max();
   const double leftMs = demand.objectiveMs - m_pass->nowMs - m_options.stopMs;
   const bool late = demand.prospect != Prospect::InTime || leftMs < demand.estimateMs;
@@ -59,76 +61,80 @@
   return (demand.isUrgent() ? m_options.lossRatio : m_options.gangLossRatio) * demand.taskWork;
 }
 
-/** \returns whether a step may count on runs that are about to end; guaranteed work near its bound may not. */
-bool RunPlanner::trustsEnds(const StepDemand& demand) const {
+/** \returns whether a step may rely on runs that are about to end; guaranteed work near its bound may not. */
+bool RunPlanner::reliesOnEnds(const StepDemand& demand) const {
   return demand.rank != GuaranteedRank || demand.waitedMs < m_options.guaranteedTrustMs;
 }
 
-/** Sets room aside for what waits; if what is being stopped is not enough, chooses more to stop. */
+/** Keeps capacity that is being freed for a waiting step; if this is not enough, selects further runs to stop.
+ * \returns whether the step will get capacity */
 bool RunPlanner::preempt(const StepDemand& demand) {
-  const bool trusts = trustsEnds(demand);
-  const double worth = worthStopping(demand);
-  ShapeMemory::Entry* memory = memoryOf(demand);
-  const ShapeMemory::Vain question{demand.gang ? demand.tasks : 1, demand.estimateMs, worth, m_pass->memory.freed()};
-  // Targets that are being freed for a step are cheaper for it than for others of its shape.
-  const bool remembers = memory != nullptr && demand.nominated.empty();
-  std::optional<ShapeMemory::Vain>* vain = remembers ? &memory->stop[{demand.rank, trusts}] : nullptr;
-  if (vain != nullptr && *vain && (*vain)->covers(question)) return false;
+  const bool withEnds = reliesOnEnds(demand);
+  const double maxLoss = acceptableLoss(demand);
+  ShapeMemory::Entry* cached = cacheEntryFor(demand);
+  const ShapeMemory::FailedQuery query{demand.gang ? demand.tasks : 1, demand.estimateMs, maxLoss,
+                                       m_pass->cache.freed()};
+  // Targets that are being freed for a step cost it less than other steps of its shape, so its result is not shared.
+  const bool cacheable = cached != nullptr && demand.nominated.empty();
+  std::optional<ShapeMemory::FailedQuery>* failed = cacheable ? &cached->stop[{demand.rank, withEnds}] : nullptr;
+  if (failed != nullptr && *failed && (*failed)->covers(query)) return false;
   const TargetGroups& groups = groupsFor(demand);
-  const Rooms& rooms = trusts ? m_pass->later : m_pass->sure;
+  const Rooms& capacities = withEnds ? m_pass->freeAfterEnds : m_pass->freeAfterStops;
   if (demand.gang) {
-    const std::optional<StepPlacement> soon = m_pass->placer->placeWhole(demand, groups, rooms);
-    if (soon) {
-      setAside(demand, *soon);
+    const std::optional<StepPlacement> upcoming = m_pass->placer->placeWhole(demand, groups, capacities);
+    if (upcoming) {
+      nominateTargets(demand, *upcoming);
       return true;
     }
   }
-  const std::optional<RoomMaker::Cleared> cleared = m_pass->roomMaker->clear(demand, groups, trusts, worth, rooms);
-  if (!cleared) {
-    if (vain != nullptr) ShapeMemory::remember(*vain, question);
+  const std::optional<RoomMaker::Selection> selection =
+      m_pass->victimSelector->select(demand, groups, withEnds, maxLoss, capacities);
+  if (!selection) {
+    if (failed != nullptr) ShapeMemory::recordFailure(*failed, query);
     return false;
   }
-  stop(demand, cleared->victims);
-  setAside(demand, cleared->placement);
+  stop(demand, selection->victims);
+  nominateTargets(demand, selection->placement);
   return true;
 }
 
 void RunPlanner::stop(const StepDemand& demand, const std::vector<std::size_t>& victims) {
   if (victims.empty()) return;
-  m_pass->roomMaker->stop(victims);
-  m_pass->memory.noteFreed();
+  m_pass->victimSelector->stop(victims);
+  m_pass->cache.recordFreed();
   for (const std::size_t r : victims) {
     const PlannedRun& run = m_pass->runs[r];
     m_pass->plan.stops.push_back({run.key, demand.step});
-    m_pass->sure[run.target].add(run.need);
-    if (!m_pass->endsSoon[r]) m_pass->later[run.target].add(run.need);
+    m_pass->freeAfterStops[run.target].add(run.need);
+    if (!m_pass->endsSoon[r]) m_pass->freeAfterEnds[run.target].add(run.need);
   }
 }
 
-/** \returns the targets that a gang waited for at the last pass, of those that may have it. */
-TargetList RunPlanner::waitedFor(const StepDemand& demand) const {
-  const auto found = m_waitedFor.find(m_pass->names[demand.step]);
-  if (found == m_waitedFor.end() || !m_options.stickyReservations) return nullptr;
+/** \returns those of a gang's possible targets that the last pass reserved for it; null if there are none or
+ * reservations are not sticky. */
+TargetList RunPlanner::lastReservedTargets(const StepDemand& demand) const {
+  const auto found = m_lastReserved.find(m_pass->names[demand.step]);
+  if (found == m_lastReserved.end() || !m_options.stickyReservations) return nullptr;
   std::vector<std::size_t> among;
-  for (const std::size_t i : *demand.serving) {
+  for (const std::size_t i : *demand.eligible) {
     if (found->second.count(m_pass->targets[i].id) > 0) among.push_back(i);
   }
   return among.empty() ? nullptr : std::make_shared<const std::vector<std::size_t>>(std::move(among));
 }
 
-/** Keeps the place that will be free first from later work that would take longer. */
+/** Reserves the placement that is expected to become free first, against other work that would not end before then. */
 void RunPlanner::reserve(const StepDemand& demand) {
-  constexpr double AnyTime = std::numeric_limits<double>::max();
+  constexpr double NoLimit = std::numeric_limits<double>::max();
   std::optional<EndForecast::Wait> wait;
-  // What it has waited for so far comes first: a place that moves with each plan never becomes free.
-  const TargetList before = waitedFor(demand);
-  if (before) wait = m_pass->forecast->waitFor(demand, {{}, before}, m_pass->free, AnyTime);
-  if (!wait) wait = m_pass->forecast->waitFor(demand, groupsFor(demand), m_pass->free, AnyTime);
+  // The targets reserved so far are tried first: a reservation that moves with each pass would never become free.
+  const TargetList previous = lastReservedTargets(demand);
+  if (previous) wait = m_pass->forecast->waitFor(demand, {{}, previous}, m_pass->free, NoLimit);
+  if (!wait) wait = m_pass->forecast->waitFor(demand, groupsFor(demand), m_pass->free, NoLimit);
   if (!wait) return;
   Reservation reservation{Rooms(m_pass->targets.size()), wait->waitMs};
   for (const std::size_t target : wait->placement.targets) {
-    m_pass->waitingFor[m_pass->names[demand.step]].insert(m_pass->targets[target].id);
-    reservation.rooms[target].add(demand.need);
+    m_pass->reservedTargets[m_pass->names[demand.step]].insert(m_pass->targets[target].id);
+    reservation.capacities[target].add(demand.need);
   }
   m_pass->placer->reserve(std::move(reservation));
 }
--- a/Courseloom/src/Scheduling/ShapeMemory.h
+++ b/Courseloom/src/Scheduling/ShapeMemory.h
@@ -12,55 +12,58 @@
 namespace courseloom {
 
 /** \class ShapeMemory
- * \brief What steps of the same needs have asked for in vain during one pass.
+ * \brief Cache of the placement queries that failed during one pass, by the shape of the step.
  *
- * While a pass goes on, room now only shrinks and reservations only grow, so what found no place, or no end in time,
- * finds none later. Room that stopping frees may grow; then what was asked of RoomMaker may be asked again.
+ * During a pass, the capacity that is free now only shrinks and reservations only grow, so a query for a placement, or
+ * for a wait, that failed once fails again. Capacity freed by stops may grow; queries to RoomMaker are then
+ * repeated.
  */
 class ShapeMemory {
  public:
-  /** What makes two steps ask the same question. */
+  /** Properties of a step on which the results of its queries depend. Steps of equal shape share an entry. */
   struct Shape {
-    const void* serving = nullptr;
-    const void* lateChances = nullptr;
+    const void* eligible = nullptr;     ///< address of the list of its targets
+    const void* lateChances = nullptr;  ///< address of the list of its chances
     Room need;
     bool gang = false;
     bool urgent = false;
-    bool headroom = false;  ///< targets may be kept whole against it
-    bool spreads = false;   ///< may leave its rack because it has waited long
+    bool headroom = false;   ///< whether the headroom for priority 0 applies to it
+    bool maySpread = false;  ///< whether it has waited so long that it may use several racks
     bool waitsForData = false;
     std::size_t dataRack = 0;
-    std::size_t rackTasks = 0;  ///< tasks of a gang that has to be within one rack
+    std::size_t rackTasks = 0;  ///< number of tasks of a gang that has to be within one rack; 0 otherwise
     auto operator<=>(const Shape&) const = default;
   };
-  /** A question that was asked in vain; one that asks for as much or more is vain too. */
-  struct Vain {
+  /** A query that failed; a query that asks for at least as much fails too. */
+  struct FailedQuery {
     std::size_t tasks = 0;
     double estimateMs = 0.0;
-    double limit = 0.0;      ///< the most that it was willing to wait, ms, or to pay, core-seconds
-    unsigned freedUpTo = 0;  ///< \sa freed()
-    bool covers(const Vain& other) const {
+    double limit = 0.0;       ///< longest acceptable wait, ms, or largest acceptable loss, core-seconds
+    unsigned freedCount = 0;  ///< value of freed() at the time of the query
+    /** \returns whether the failure of this query implies that of another one. */
+    bool covers(const FailedQuery& other) const {
       return other.tasks >= tasks && other.estimateMs >= estimateMs && other.limit <= limit &&
-             other.freedUpTo == freedUpTo;
+             other.freedCount == freedCount;
     }
   };
-  /** Groups of targets and vain questions of one shape. */
+  /** Groups of targets and failed queries of one shape. */
   struct Entry {
     std::optional<TargetGroups> groups;
-    std::optional<Vain> place;
-    std::optional<Vain> wait;
-    std::map<std::pair<Rank, bool>, std::optional<Vain>>
-        stop;  ///< by rank, and whether it counts on runs that end soon
+    std::optional<FailedQuery> place;  ///< for free capacity
+    std::optional<FailedQuery> wait;   ///< for capacity that becomes free in time
+    /** By rank, and whether the step relies on runs that end soon. */
+    std::map<std::pair<Rank, bool>, std::optional<FailedQuery>> stop;
   };
 
-  /** Keeps the question that rules more out. */
-  static void remember(std::optional<Vain>& known, const Vain& vain) {
-    if (!known || vain.covers(*known) || vain.freedUpTo != known->freedUpTo) known = vain;
+  /** Replaces the recorded query by a failed one that covers it, or that was made after stops had freed capacity. */
+  static void recordFailure(std::optional<FailedQuery>& known, const FailedQuery& failed) {
+    if (!known || failed.covers(*known) || failed.freedCount != known->freedCount) known = failed;
   }
+  /** \returns the entry of a shape, which is added if it is new. */
   Entry& operator[](const Shape& shape) { return m_entries[shape]; }
-  /** Notes that stopping has freed room. */
-  void noteFreed() { ++m_freed; }
-  /** \returns how often stopping has freed room in this pass. */
+  /** Records that stops have freed capacity. */
+  void recordFreed() { ++m_freed; }
+  /** \returns how often stops have freed capacity in this pass. */
   unsigned freed() const { return m_freed; }
 
  private:
--- a/Courseloom/src/Scheduling/StepDemand.cpp
+++ b/Courseloom/src/Scheduling/StepDemand.cpp
@@ -16,42 +16,43 @@
   return std::make_shared<const std::vector<std::size_t>>(std::move(targets));
 }
 
-/** \returns those of some targets for which the step has a ticket, if it needs any. */
+/** \returns those of some targets for which the step has a ticket. The step has to be one that needs tickets. */
 TargetList with_tickets(const PlannedStep& step, const TargetIndex& targets, const TargetList& among) {
-  std::vector<std::size_t> left;
+  std::vector<std::size_t> kept;
   for (const std::size_t i : *among) {
-    if (step.tickets->count(targets[i].id) > 0) left.push_back(i);
+    if (step.tickets->count(targets[i].id) > 0) kept.push_back(i);
   }
-  return list_of(std::move(left));
+  return list_of(std::move(kept));
 }
 
+/** \returns those of some targets on which the step has not failed. */
 TargetList without_avoided(const PlannedStep& step, const TargetIndex& targets, const TargetList& among) {
-  std::vector<std::size_t> left;
+  std::vector<std::size_t> kept;
   for (const std::size_t i : *among) {
-    if (step.avoided.count(targets[i].id) == 0) left.push_back(i);
+    if (step.avoided.count(targets[i].id) == 0) kept.push_back(i);
   }
-  return list_of(std::move(left));
+  return list_of(std::move(kept));
 }
 
-/** \returns whether the step could be served by its targets, or a task of it. A gang does not wait for one on
- * probation to take several of its tasks: that needs other work to be done there first. */
-bool has_others(const StepDemand& demand, const TargetIndex& targets) {
-  if (demand.gang) return couldHold(demand, targets, *demand.serving, OnProbation::TakesOne);
-  return std::any_of(demand.serving->begin(), demand.serving->end(),
+/** \returns whether the eligible targets could hold a gang, or one task of another step on an open target. For a gang,
+ * a target on probation counts with one run: it receives several only after other work has succeeded there. */
+bool could_serve(const StepDemand& demand, const TargetIndex& targets) {
+  if (demand.gang) return couldHold(demand, targets, *demand.eligible, OnProbation::TakesOne);
+  return std::any_of(demand.eligible->begin(), demand.eligible->end(),
                      [&](std::size_t i) { return targets[i].open && targets[i].capacity.holds(demand.need); });
 }
 
 }  // namespace
 }  // namespace internal
 
-std::size_t StepDemand::leftOn(std::size_t target) const {
+std::size_t StepDemand::remainingOn(std::size_t target) const {
   if (maxPerTarget == Unlimited) return Unlimited;
   const auto found = std::lower_bound(placed.begin(), placed.end(), std::pair<std::size_t, std::size_t>{target, 0});
   const std::size_t has = found != placed.end() && found->first == target ? found->second : 0;
   return maxPerTarget - std::min(maxPerTarget, has);
 }
 
-void StepDemand::addTo(std::size_t target) {
+void StepDemand::addTaskOn(std::size_t target) {
   if (maxPerTarget == Unlimited) return;
   const auto at = std::lower_bound(placed.begin(), placed.end(), std::pair<std::size_t, std::size_t>{target, 0});
   if (at != placed.end() && at->first == target) {
@@ -90,28 +91,28 @@
   demand.trial = step.trial;
   demand.sameRack = spec.gang() && spec.same_rack();
   if (!spec.preferred_rack().empty()) demand.dataRack = targets.rackNamed(spec.preferred_rack());
-  // Far from its data a task takes several times as long, so it first waits about as long as it would run.
+  // A task runs several times as long in another rack than its data, so it first waits for about its run time.
   demand.waitsForData = step.waitedMs < step.estimateMs;
   if (spec.max_per_target() > 0) demand.maxPerTarget = spec.max_per_target();
   demand.estimateMs = step.estimateMs;
   demand.waitedMs = step.waitedMs;
   demand.objectiveMs = step.objectiveMs;
   demand.taskWork = step.taskWork;
-  demand.serving = targets.serving(step.workflow->record.service(), spec.required_label());
+  demand.eligible = targets.targetsOf(step.workflow->record.service(), spec.required_label());
   demand.shared = !step.tickets && step.avoided.empty() && !step.trial && spec.max_per_target() == 0;
-  if (step.tickets) demand.serving = internal::with_tickets(step, targets, demand.serving);
+  if (step.tickets) demand.eligible = internal::with_tickets(step, targets, demand.eligible);
   if (!step.avoided.empty()) {
-    const TargetList whole = demand.serving;
-    demand.serving = internal::without_avoided(step, targets, whole);
-    if (!internal::has_others(demand, targets)) demand.serving = whole;
+    const TargetList unfiltered = demand.eligible;
+    demand.eligible = internal::without_avoided(step, targets, unfiltered);
+    if (!internal::could_serve(demand, targets)) demand.eligible = unfiltered;
   }
   if (speeds != SpeedUse::None) {
-    demand.lateChances = targets.lateChances(slownessLimit(step.objectiveMs - nowMs, step.estimateMs));
+    demand.lateChances = targets.lateChances(slowdownLimit(step.objectiveMs - nowMs, step.estimateMs));
   }
   if (speeds == SpeedUse::Choice && demand.isUrgent() && demand.lateChances != nullptr) {
-    const TargetList whole = demand.serving;
-    demand.serving = targets.fastEnough(whole, *demand.lateChances);
-    if (!internal::has_others(demand, targets)) demand.serving = whole;
+    const TargetList unfiltered = demand.eligible;
+    demand.eligible = targets.fastEnough(unfiltered, *demand.lateChances);
+    if (!internal::could_serve(demand, targets)) demand.eligible = unfiltered;
   }
   for (const auto& [id, count] : step.placedOn) {
     const std::optional<std::size_t> target = targets.find(id);
--- a/Courseloom/src/Scheduling/TargetIndex.cpp
+++ b/Courseloom/src/Scheduling/TargetIndex.cpp
@@ -13,19 +13,20 @@
 namespace internal {
 namespace {
 
-/** Limits of slowness that are taken as one, so that steps share their chances: a tenth of a run time. */
+/** Slowdown limits are rounded to multiples of this, about a tenth of a run time, so that steps share their chances. */
 constexpr double LimitStep = 0.1;
-/** Beyond these no target, or every one, is late: a fifth and five times the usual run time. */
-constexpr double MostLimit = 1.6;
-/** Chance beyond which a target is not used for an urgent step: more likely late there than not. */
-constexpr double MostLateChance = 0.5;
-/** Difference of chances that decides nothing: a hundredth of the price of a place where work is sure to be late. Steps
- * whose chances say nothing share what they asked for in vain. */
-constexpr double AlikeChances = 0.01;
-
-bool are_alike(const std::vector<double>& chances) {
+/** Bound of the slowdown limits in both directions, a fifth and five times the usual run time: beyond it every target,
+ * or no target, is late. */
+constexpr double MaxLimit = 1.6;
+/** Chance above which a target is not used for an urgent step: the step is more likely to be late than in time. */
+constexpr double MaxLateChance = 0.5;
+/** Difference of chances that is too small to matter: a hundredth of the cost of a target on which work is sure to be
+ * late. Steps whose chances differ less share their cached failed queries. */
+constexpr double MinChanceDifference = 0.01;
+
+bool nearly_equal(const std::vector<double>& chances) {
   const auto [least, most] = std::minmax_element(chances.begin(), chances.end());
-  return chances.empty() || *most - *least < AlikeChances;
+  return chances.empty() || *most - *least < MinChanceDifference;
 }
 
 }  // namespace
@@ -68,42 +69,42 @@
   return found == m_racks.end() ? m_racks.size() : found->second;
 }
 
-TargetList TargetIndex::serving(const std::string& service, const std::string& label) {
-  TargetList& known = m_serving[{service, label}];
-  if (known) return known;
+TargetList TargetIndex::targetsOf(const std::string& service, const std::string& label) {
+  TargetList& cached = m_targetsOf[{service, label}];
+  if (cached) return cached;
   std::vector<std::size_t> found;
   for (std::size_t i = 0; i < m_targets->size(); ++i) {
     const PlannedTarget& target = (*m_targets)[i];
     const bool labelled = label.empty() || target.labels.count(label) > 0;
     if (target.service == service && labelled) found.push_back(i);
   }
-  known = std::make_shared<const std::vector<std::size_t>>(std::move(found));
-  return known;
+  cached = std::make_shared<const std::vector<std::size_t>>(std::move(found));
+  return cached;
 }
 
 const std::vector<double>* TargetIndex::lateChances(double limit) {
-  const double bounded = std::clamp(limit, -internal::MostLimit, internal::MostLimit);
+  const double bounded = std::clamp(limit, -internal::MaxLimit, internal::MaxLimit);
   const int step = static_cast<int>(std::lround(bounded / internal::LimitStep));
-  const auto [known, isNew] = m_lateChances.try_emplace(step);
-  std::vector<double>& chances = known->second;
+  const auto [cached, isNew] = m_lateChances.try_emplace(step);
+  std::vector<double>& chances = cached->second;
   if (isNew) {
     const LateChance chance(step * internal::LimitStep);
     chances.reserve(size());
     for (const PlannedTarget& target : *m_targets) chances.push_back(chance.on(target.pace));
-    if (internal::are_alike(chances)) chances.clear();
+    if (internal::nearly_equal(chances)) chances.clear();
   }
   return chances.empty() ? nullptr : &chances;
 }
 
 TargetList TargetIndex::fastEnough(const TargetList& among, const std::vector<double>& lateChances) {
-  TargetList& known = m_fastEnough[{among, &lateChances}];
-  if (known) return known;
-  std::vector<std::size_t> left;
+  TargetList& cached = m_fastEnough[{among, &lateChances}];
+  if (cached) return cached;
+  std::vector<std::size_t> kept;
   for (const std::size_t i : *among) {
-    if (lateChances[i] <= internal::MostLateChance) left.push_back(i);
+    if (lateChances[i] <= internal::MaxLateChance) kept.push_back(i);
   }
-  known = left.size() == among->size() ? among : std::make_shared<const std::vector<std::size_t>>(std::move(left));
-  return known;
+  cached = kept.size() == among->size() ? among : std::make_shared<const std::vector<std::size_t>>(std::move(kept));
+  return cached;
 }
 
 }  // namespace courseloom
--- a/Courseloom/src/Scheduling/TargetIndex.h
+++ b/Courseloom/src/Scheduling/TargetIndex.h
@@ -17,36 +17,43 @@
 
 namespace courseloom {
 
-/** Targets by index, in ascending order; shared by all steps that ask for the same ones. */
+/** Indexes of targets in ascending order; shared by all steps with the same requirements. */
 using TargetList = std::shared_ptr<const std::vector<std::size_t>>;
 
 /** \class TargetIndex
- * \brief Finds planned targets by id, rack, service and label, so that a pass compares no names for each task.
+ * \brief Finds planned targets by id, rack, service and label, so that a pass need not compare names for each task.
  *
- * At 300 full targets and 50 waiting steps, comparing names took most of 230 ms a pass.
+ * With 300 full targets and 50 waiting steps, comparing names took most of the 230 ms of a pass.
  */
 class TargetIndex {
  public:
+  /** \param targets have to outlive the object */
   explicit TargetIndex(const std::vector<PlannedTarget>& targets);
 
+  /** \returns the number of targets. */
   std::size_t size() const { return m_targets->size(); }
+  /** \returns the target with an index. */
   const PlannedTarget& operator[](std::size_t target) const { return (*m_targets)[target]; }
+  /** \returns the index of the target with an id, or nothing. */
   std::optional<std::size_t> find(std::string_view id) const;
-  /** \returns those of some targets that are there, ascending. */
+  /** \returns the indexes of the targets with some ids, ascending; unknown ids are ignored. */
   std::vector<std::size_t> findAll(const std::set<std::string>& ids) const;
-  /** \returns the rack of a target, by index; racks are numbered in the order of their names. */
+  /** \returns the index of a target's rack; racks are numbered in the order of their names. */
   std::size_t rackOf(std::size_t target) const { return m_rackOf[target]; }
+  /** \returns the number of racks. */
   std::size_t racks() const { return m_inRack.size(); }
+  /** \returns the indexes of the targets in a rack, ascending. */
   const std::vector<std::size_t>& inRack(std::size_t rack) const { return m_inRack[rack]; }
-  /** \returns the rack with a name; racks() if no target is in it. */
+  /** \returns the index of the rack with a name; racks() if no target is in such a rack. */
   std::size_t rackNamed(const std::string& name) const;
-  /** \returns targets of a service that carry a label, open or not. \param label empty for any */
-  TargetList serving(const std::string& service, const std::string& label);
-  /** \returns by target the chance, 0 to 1, that a task ends late there though it would not on a usual target; worked
-   * out once a pass for limits that are about alike. Null if it is about the same on all, so that it says nothing for
-   * or against any. \param limit slowness at which the task ends just in time */
+  /** \returns the targets of a service that have a label, open or not. \param label empty: no label is required */
+  TargetList targetsOf(const std::string& service, const std::string& label);
+  /** \returns by target how much more probable it is that a task ends late there than on a usual target, 0 to 1; null
+   * if this is about the same on all targets. Similar limits share one result, which is computed once per pass.
+   * \param limit slowdown at which the task ends just in time */
   const std::vector<double>* lateChances(double limit);
-  /** \returns those of some targets on which a task is more likely in time than late. */
+  /** \returns those of some targets whose late chance is at most one half.
+   * \param lateChances a result of lateChances() of this object */
   TargetList fastEnough(const TargetList& among, const std::vector<double>& lateChances);
 
  private:
@@ -55,9 +62,11 @@
   std::map<std::string_view, std::size_t> m_racks;
   std::vector<std::size_t> m_rackOf;
   std::vector<std::vector<std::size_t>> m_inRack;
-  std::map<std::pair<std::string, std::string>, TargetList> m_serving;
-  std::map<int, std::vector<double>> m_lateChances;  ///< by limit, in steps; empty where all are alike
-  /** By list and chances. The lists are held, so that no other one comes to lie at an address that is known here. */
+  std::map<std::pair<std::string, std::string>, TargetList> m_targetsOf;
+  std::map<int, std::vector<double>>
+      m_lateChances;  ///< by limit in units of LimitStep; empty if about equal on all targets
+  /** Results of fastEnough() by list and chances. The key owns its list, so that its address is not used again by
+   * another list. */
   std::map<std::pair<TargetList, const std::vector<double>*>, TargetList> m_fastEnough;
 };
 
--- a/Courseloom/src/Scheduling/Trials.h
+++ b/Courseloom/src/Scheduling/Trials.h
@@ -10,21 +10,26 @@
 
 namespace courseloom {
 
-/** \returns how many tasks may be put on trial now, each of which keeps a target from others for a while.
- * \param targets all that there are \param underWay trials that have neither shown anything yet nor ended */
-std::size_t trialsAllowed(std::size_t targets, std::size_t underWay);
-
-/** \returns how many further tasks of one step may be put on trial: one, and twice as many as have lived.
- * \param underWay its trials that have not shown anything yet \param lived its runs that have */
-std::size_t trialsOfStep(std::size_t underWay, std::size_t lived);
-
-/** \returns whether each task of a step has to begin soon, whatever else it may do: in a guarantee, or one that lasts.
- */
+/** \returns how many further trial starts are allowed now. Each keeps one target free of other starts for a while.
+ * \param targets number of all targets
+ * \param pending number of trial starts that have not ended and whose outcome is not known yet */
+std::size_t trialsAllowed(std::size_t targets, std::size_t pending);
+
+/** \returns how many further trial starts one step may have now: up to one at a time, or up to twice the number of its
+ * runs that have survived, whichever is more.
+ * \param pending number of its trial starts whose outcome is not known yet
+ * \param survived number of its active runs of suspect tasks that have survived their trial start */
+std::size_t trialsOfStep(std::size_t pending, std::size_t survived);
+
+/** \returns whether the tasks of a step have to start soon even if they are suspect: those within a guarantee, and
+ * those of long-running steps. */
 bool hasToBegin(const PlannedStep& step);
 
-/** Divides the tasks of a step that wait into those that have to be tried, at most so many, and the others, which wait
- * as long as several targets have crashed under the workflow, unless they have to begin. \returns the parts that have
- * any tasks; the step itself where none is to be tried */
+/** Divides the waiting tasks of a step into suspect tasks, which get trial starts, and others. The others wait if two
+ * or more targets have crashed under the workflow, unless hasToBegin() is true for the step, and always if the step has
+ * a limit per target.
+ * \param most largest number of suspect tasks in the result
+ * \returns the parts that have tasks; the step unchanged if it is a gang or has no suspect tasks */
 std::vector<PlannedStep> divideForTrial(PlannedStep step, std::size_t most);
 
 }  // namespace courseloom
