--- a/Courseloom/src/Scheduling/RunPlan.h
+++ b/Courseloom/src/Scheduling/RunPlan.h
@@ -128,7 +128,8 @@
                   const std::function<bool(std::size_t target)>& isOpen);
 
 /** \class RunPlannerOptions
- * \brief Parameters of the planner. All mechanisms are on in production; tests and benchmarks turn one off at a time.
+ * \brief Parameters of the planner. WorkflowRunner sets some of them from the policy and control settings; tests and
+ * benchmarks turn individual mechanisms off.
  */
 struct RunPlannerOptions {
   bool preemption = true;  ///< work of priority 0 may stop runs of lower rank
