--- a/Courseloom/src/Scheduling/RunLedger.cpp
+++ b/Courseloom/src/Scheduling/RunLedger.cpp
@@ -13,29 +13,31 @@
 namespace internal {
 namespace {
 
-/** Ends of a gang's other members arrive by themselves; only what stays longer is stopped. */
+/** Runs of a completed workflow or of a task that is done end by themselves, as the other members of a gang do. They
+ * are stopped only if they are still active this long after their last progress. */
 constexpr Duration DoneGrace = milliseconds(600);
-/** After an outage, until a leader is elected and has heard its agents. */
+/** Time after an outage until a leader has been elected and has had reports from its agents. */
 constexpr Duration ElectionAllowance = milliseconds(2000);
 
-/** Of the time for which an agent may be silent, so much is left to a report and its answer on their ways. */
-constexpr Duration ReportWay = milliseconds(1000);
-/** While more than one of so many known targets is a new one, the others are not all there yet. */
+/** Part of the time for which an agent may be silent that is left for the transit of a report and of its answer. */
+constexpr Duration ReportTransit = milliseconds(1000);
+/** If more than one in this many known targets is new, further targets are assumed to be still registering. */
 constexpr std::size_t KnownPerArriving = 16;
 
-/** \returns whether a report's lists show a run at the target that it tells of. */
-bool shows(const schema::AttendRequest& report, const RunKey& key) {
+/** \returns whether a report lists a run as running on, or ended by, the target that it describes. */
+bool lists_run(const schema::AttendRequest& report, const RunKey& key) {
   const auto isKey = [&key](const auto& row) { return runKeyOf(row.task(), row.run()) == key; };
   return std::any_of(report.running().begin(), report.running().end(), isKey) ||
          std::any_of(report.ends().begin(), report.ends().end(), isKey);
 }
 
-/** \returns whether a life can have taken an order that was meant for another: they share an identity. */
-bool shares_identity(const std::string& life, const std::string& meant) {
-  return !life.empty() && TargetLife::named(life).id == TargetLife::named(meant).id;
+/** \returns whether one incarnation can have accepted an order that was intended for another, as it can if both have
+ * the same identity. */
+bool same_identity(const std::string& incarnation, const std::string& intended) {
+  return !incarnation.empty() && TargetLife::named(incarnation).id == TargetLife::named(intended).id;
 }
 
-bool described_alike(const schema::TargetReport& a, const schema::TargetReport& b) {
+bool same_description(const schema::TargetReport& a, const schema::TargetReport& b) {
   const auto sameLabels = std::equal(a.labels().begin(), a.labels().end(), b.labels().begin(), b.labels().end());
   return sameLabels && a.id() == b.id() && a.service() == b.service() && a.rack() == b.rack() &&
          a.data_hall() == b.data_hall() && roomOf(a.capacity()) == roomOf(b.capacity());
@@ -52,9 +54,9 @@
 }  // namespace internal
 
 Duration grantLength(const schema::ControlSettings& settings) {
-  const Duration least = milliseconds(settings.run_grant_ms());
-  if (settings.outage_s() == 0) return least;
-  return std::max(least, milliseconds(std::int64_t{1000} * settings.outage_s()) + internal::ElectionAllowance);
+  const Duration minimum = milliseconds(settings.run_grant_ms());
+  if (settings.outage_s() == 0) return minimum;
+  return std::max(minimum, milliseconds(std::int64_t{1000} * settings.outage_s()) + internal::ElectionAllowance);
 }
 
 RunKey runKeyOf(const schema::TaskId& task, std::uint32_t run) { return {task.workflow(), keyOf(task), run}; }
@@ -66,8 +68,8 @@
   m_runs.clear();
   m_byAgent.clear();
   m_targets.clear();
-  m_met.clear();
-  m_missed.clear();
+  m_incarnations.clear();
+  m_losses.clear();
   for (const std::string& id : table.open()) {
     for (const auto& [key, task] : table.find(id)->tasks) {
       for (const schema::ActiveRun& run : task.active) add(makeTaskId(id, key), run, now, true);
@@ -100,7 +102,7 @@
 }
 
 schema::RunEnd RunLedger::makeEnd(const RunKey& key, schema::RunEndKind kind, const std::string& checkpoint) {
-  m_runs.at(key).ending = true;
+  m_runs.at(key).endProposed = true;
   schema::RunEnd end;
   *end.mutable_task() = makeTaskId(key.workflow, key.task);
   end.set_run(key.run);
@@ -115,29 +117,30 @@
   return !m_options.doubtReports || report.term() == m_term;
 }
 
-/** Agents that were answered lived one after another in the order in which they were met: a former one was answered,
- * and so met, before its successor began. */
+/** The incarnations of an agent that this leader has answered ran one after another, in the order of their first
+ * contact: an earlier one was answered, and so recorded, before its successor began. */
 bool RunLedger::isOvertaken(const schema::AttendRequest& report) const {
   if (!m_options.doubtReports || !isCurrent(report)) return false;
   const auto found = m_targets.find(report.agent());
   if (found == m_targets.end()) return false;
   const TargetTrack& target = found->second;
   if (report.incarnation() == target.incarnation) return report.sequence() < target.sequence;
-  const std::size_t place = metAs(report.agent(), report.incarnation());
-  return place != 0 && place < metAs(report.agent(), target.incarnation);
+  const std::size_t position = contactOrder(report.agent(), report.incarnation());
+  return position != 0 && position < contactOrder(report.agent(), target.incarnation);
 }
 
-void RunLedger::meet(const schema::AttendRequest& report) {
-  std::map<std::uint64_t, std::size_t>& met = m_met[report.agent()];
-  met.try_emplace(report.incarnation(), met.size() + 1);
+void RunLedger::recordContact(const schema::AttendRequest& report) {
+  std::map<std::uint64_t, std::size_t>& incarnations = m_incarnations[report.agent()];
+  incarnations.try_emplace(report.incarnation(), incarnations.size() + 1);
 }
 
-/** \returns which incarnation of its agent this was, as this leader met them; 0 for one that it has not met. */
-std::size_t RunLedger::metAs(const std::string& agent, std::uint64_t incarnation) const {
-  const auto met = m_met.find(agent);
-  if (met == m_met.end()) return 0;
-  const auto place = met->second.find(incarnation);
-  return place == met->second.end() ? 0 : place->second;
+/** \returns the position of an incarnation among those of its agent, counted from 1 in the order of first contact with
+ * this leader; 0 if there was no contact with it. */
+std::size_t RunLedger::contactOrder(const std::string& agent, std::uint64_t incarnation) const {
+  const auto incarnations = m_incarnations.find(agent);
+  if (incarnations == m_incarnations.end()) return 0;
+  const auto position = incarnations->second.find(incarnation);
+  return position == incarnations->second.end() ? 0 : position->second;
 }
 
 TargetTrack& RunLedger::track(const std::string& agent) {
@@ -163,11 +166,11 @@
 
 Duration RunLedger::reportWait() const {
   const auto wanted = milliseconds(1000) * static_cast<std::int64_t>(m_targets.size()) / m_options.reportsEachSecond;
-  return std::min(Duration(wanted), m_options.silence - internal::ReportWay);
+  return std::min(Duration(wanted), m_options.silence - internal::ReportTransit);
 }
 
 std::vector<schema::RunEnd> RunLedger::takeReport(const schema::AttendRequest& report, Time now) {
-  meet(report);
+  recordContact(report);
   if (!isCurrent(report) || isOvertaken(report)) return {};
   TargetTrack& target = track(report.agent());
   const std::set<RunKey>& keys = m_byAgent[report.agent()];
@@ -178,42 +181,43 @@
   target.relay = report.relay();
   target.relayed = report.relayed();
   const schema::TargetReport before = std::exchange(target.report, report.target());
-  if (!internal::described_alike(before, target.report)) ++m_descriptions;
+  if (!internal::same_description(before, target.report)) ++m_descriptions;
   target.heard = now;
-  if (target.met == Time{} && !report.target().id().empty()) target.met = now;
+  if (target.firstTargetReport == Time{} && !report.target().id().empty()) target.firstTargetReport = now;
   const bool inReach = report.target().reachable() && !report.target().id().empty();
-  // An agent that has begun anew names no target at first, which says nothing about it.
-  const bool gone = !report.target().id().empty() && (!inReach || before.id() != report.target().id());
-  if (before.reachable() && gone) noteMissed(report.agent(), target, now);
-  if (inReach || target.reached == Time{}) target.reached = now;
-  target.askedAt = Time{};
+  // A restarted agent names no target at first. That does not mean that its target is lost.
+  const bool targetLost = !report.target().id().empty() && (!inReach || before.id() != report.target().id());
+  if (before.reachable() && targetLost) recordTargetLoss(report.agent(), target, now);
+  if (inReach || target.lastReachable == Time{}) target.lastReachable = now;
+  target.reportRequestedAt = Time{};
   std::vector<schema::RunEnd> ends;
   for (const RunKey& key : keys) {
     RunTrack& track = m_runs.at(key);
     if (newAgent) {
       track.confirmed = false;
-      track.startDelivered = Time{};
-      track.stopDelivered = Time{};
+      track.startOrderedAt = Time{};
+      track.stopOrderedAt = Time{};
     }
-    const bool otherLife = !report.target().id().empty() && track.target != report.target().id();
-    if (!otherLife) continue;
-    // An order meant for the former life may have begun the run in this one, which has to end it first.
-    const bool begun = internal::shares_identity(report.target().id(), track.target) && internal::shows(report, key);
-    if (!begun) ends.push_back(makeEnd(key, schema::RunTargetLost, track.checkpoint));
+    const bool otherIncarnation = !report.target().id().empty() && track.target != report.target().id();
+    if (!otherIncarnation) continue;
+    // An order for the former incarnation may have started the run on this one, which then has to end the run first.
+    const bool startSeen =
+        internal::same_identity(report.target().id(), track.target) && internal::lists_run(report, key);
+    if (!startSeen) ends.push_back(makeEnd(key, schema::RunTargetLost, track.checkpoint));
   }
-  takeRows(report, now);
+  applyRunReports(report, now);
   for (const schema::EndReport& row : report.ends()) {
     const RunKey key = runKeyOf(row.task(), row.run());
     const auto found = m_runs.find(key);
     if (found == m_runs.end() || found->second.agent != report.agent()) continue;
-    if (!internal::shares_identity(report.target().id(), found->second.target)) continue;
+    if (!internal::same_identity(report.target().id(), found->second.target)) continue;
     ends.push_back(makeEnd(key, row.kind(), row.checkpoint().empty() ? found->second.checkpoint : row.checkpoint()));
   }
-  noteCrashes(report, before, ends);
+  classifyCrashes(report, before, ends);
   return ends;
 }
 
-void RunLedger::takeRows(const schema::AttendRequest& report, Time now) {
+void RunLedger::applyRunReports(const schema::AttendRequest& report, Time now) {
   TargetTrack& target = m_targets[report.agent()];
   const Time seen = now - milliseconds(report.running_age_ms());
   target.strays.clear();
@@ -254,13 +258,14 @@
   if (target.report.id().empty()) return Duration(0);
   const Duration length =
       target.report.draining() ? std::min(m_options.grant, m_options.leavingGrant) : m_options.grant;
-  // An earlier grant may have been longer.
+  // An earlier lease may have been longer, and so may still end later than this one.
   target.grantUntil = std::max(target.grantUntil, now + length);
   return length;
 }
 
-/** A former leader may have granted until the very instant at which this one began. */
-Time RunLedger::heldUntil(const std::string& agent) const {
+/** \returns when the last lease of an agent ends. A former leader may have granted leases up to the instant at which
+ * this one began. */
+Time RunLedger::leaseEnd(const std::string& agent) const {
   if (!m_options.waitForGrants) return m_leaderSince;
   const Time inherited = m_options.inheritGrants ? m_leaderSince + m_options.grant : m_leaderSince;
   const auto found = m_targets.find(agent);
@@ -271,12 +276,12 @@
   std::vector<schema::RunEnd> ends;
   for (const auto& [agent, keys] : m_byAgent) {
     if (keys.empty()) continue;
-    if (now <= heldUntil(agent) + m_options.slack) continue;
+    if (now <= leaseEnd(agent) + m_options.slack) continue;
     for (const RunKey& key : keys) {
       const RunTrack& track = m_runs.at(key);
       schema::RunEnd& end = ends.emplace_back(makeEnd(key, schema::RunLapsed, track.checkpoint));
-      // Its target may have crashed, and nobody is left to tell.
-      if (track.inherited || track.deliveredTo != 0) end.set_crash(schema::CrashUnclear);
+      // The target may have crashed, but no agent is left to report it.
+      if (track.inherited || track.firstOrderedTo != 0) end.set_crash(schema::CrashUnclear);
     }
   }
   return ends;
@@ -289,9 +294,10 @@
 
 bool RunLedger::open(const TargetTrack& target, Time now) const {
   const schema::TargetReport& report = target.report;
-  const bool heardLately = now < target.heard + m_options.silence;
-  const bool owes = target.askedAt != Time{} && now > target.askedAt + m_options.askLimit;
-  return heardLately && !owes && !report.id().empty() && report.reachable() && !report.draining();
+  const bool recentContact = now < target.heard + m_options.silence;
+  const bool reportOverdue =
+      target.reportRequestedAt != Time{} && now > target.reportRequestedAt + m_options.reportRequestTimeout;
+  return recentContact && !reportOverdue && !report.id().empty() && report.reachable() && !report.draining();
 }
 
 TargetOffer RunLedger::offer(const std::string& agent, Time now) const {
@@ -307,7 +313,7 @@
 }
 
 bool RunLedger::awaited(const TargetTrack& target, Time now) const {
-  return !target.report.draining() && now < target.reached + m_options.grant + m_options.slack;
+  return !target.report.draining() && now < target.lastReachable + m_options.grant + m_options.slack;
 }
 
 bool RunLedger::fresh(const std::string& agent, Time now) const {
@@ -317,24 +323,24 @@
 
 void RunLedger::ask(const std::string& agent, Time now) {
   TargetTrack& target = track(agent);
-  if (target.askedAt == Time{}) target.askedAt = now;
+  if (target.reportRequestedAt == Time{}) target.reportRequestedAt = now;
 }
 
 bool RunLedger::asked(const std::string& agent) const {
   const auto found = m_targets.find(agent);
-  return found != m_targets.end() && found->second.askedAt != Time{};
+  return found != m_targets.end() && found->second.reportRequestedAt != Time{};
 }
 
 bool RunLedger::arriving(Time now) const {
   if (now < m_leaderSince + m_options.silence) return true;
   std::size_t named = 0;
-  std::size_t lately = 0;
+  std::size_t recent = 0;
   for (const auto& [agent, target] : m_targets) {
-    if (target.met == Time{}) continue;
+    if (target.firstTargetReport == Time{}) continue;
     ++named;
-    if (now < target.met + m_options.silence) ++lately;
+    if (now < target.firstTargetReport + m_options.silence) ++recent;
   }
-  return lately * internal::KnownPerArriving > named;
+  return recent * internal::KnownPerArriving > named;
 }
 
 std::vector<RelayAgent> RunLedger::relays(Time now) const {
@@ -348,17 +354,17 @@
 
 // ---- orders
 
-/** An agent drops orders for any target but the one that it reports. */
-bool RunLedger::guards(const std::string& agent, const RunTrack& track) const {
+/** \returns whether the agent currently reports the target of a run. It drops orders for any other target. */
+bool RunLedger::guardsTargetOf(const std::string& agent, const RunTrack& track) const {
   const auto found = m_targets.find(agent);
   return found != m_targets.end() && found->second.report.id() == track.target;
 }
 
 bool RunLedger::startDue(const RunTrack& track, Time now) const {
   if (track.confirmed || track.stopWanted) return false;
-  // The next run may begin as soon as this one's end is committed; it must not begin in between.
-  if (track.ending && m_options.withholdEnding) return false;
-  return track.startDelivered == Time{} || now >= track.startDelivered + m_options.redeliverAfter;
+  // The task's next run may begin as soon as the end of this one is committed, so this one must no longer be started.
+  if (track.endProposed && m_options.withholdEnding) return false;
+  return track.startOrderedAt == Time{} || now >= track.startOrderedAt + m_options.redeliverAfter;
 }
 
 bool RunLedger::stopDue(const RunKey& key, const RunTrack& track, const WorkflowTable& table, Time now) const {
@@ -369,7 +375,7 @@
   const TaskState* task = workflow == nullptr ? nullptr : workflow->task(key.task);
   const bool endsByItself = finishing || (task != nullptr && task->done);
   if (endsByItself && now < track.percentChanged + internal::DoneGrace) return false;
-  return track.stopDelivered == Time{} || now >= track.stopDelivered + m_options.redeliverAfter;
+  return track.stopOrderedAt == Time{} || now >= track.stopOrderedAt + m_options.redeliverAfter;
 }
 
 bool RunLedger::hasOrders(const std::string& agent, const WorkflowTable& table, Time now) const {
@@ -377,7 +383,7 @@
   if (keys == m_byAgent.end()) return false;
   for (const RunKey& key : keys->second) {
     const RunTrack& track = m_runs.at(key);
-    if (!guards(agent, track)) continue;
+    if (!guardsTargetOf(agent, track)) continue;
     if (stopDue(key, track, table, now)) return true;
     if (!internal::is_over(table, key) && startDue(track, now)) return true;
   }
@@ -395,10 +401,10 @@
   };
   for (const RunKey& key : m_byAgent[agent]) {
     RunTrack& track = m_runs.at(key);
-    if (!guards(agent, track)) continue;
+    if (!guardsTargetOf(agent, track)) continue;
     if (stopDue(key, track, table, now)) {
       add(schema::OrderStop, key).set_target(track.target);
-      track.stopDelivered = now;
+      track.stopOrderedAt = now;
       continue;
     }
     if (internal::is_over(table, key) || !startDue(track, now)) continue;
@@ -415,8 +421,8 @@
     order.set_filler(step.filler());
     order.set_latency_target_ms(step.latency_target_ms());
     *order.mutable_need() = step.need();
-    if (track.deliveredTo == 0) track.deliveredTo = m_targets[agent].incarnation;
-    track.startDelivered = now;
+    if (track.firstOrderedTo == 0) track.firstOrderedTo = m_targets[agent].incarnation;
+    track.startOrderedAt = now;
   }
   for (const RunKey& key : m_targets[agent].strays)
     add(schema::OrderStop, key).set_target(m_targets[agent].report.id());
--- a/Courseloom/src/Scheduling/RunLedger.h
+++ b/Courseloom/src/Scheduling/RunLedger.h
@@ -16,7 +16,7 @@
 namespace courseloom {
 
 /** \class RunKey
- * \brief Names one run of one task.
+ * \brief Identifies one run of one task.
  */
 struct RunKey {
   std::string workflow;
@@ -25,79 +25,82 @@
   auto operator<=>(const RunKey&) const = default;
 };
 
-/** A run that was seen at its target for this long has not crashed it at its start. */
+/** A run that has been seen at its target for this long did not crash the target at its start. */
 inline constexpr Duration StartPhase = milliseconds(2000);
 
 /** \class RunLedgerOptions
- * \brief Times that the ledger keeps to.
+ * \brief Time limits of the ledger, and switches that turn single mechanisms off.
  */
 struct RunLedgerOptions {
-  Duration grant = milliseconds(5500);           ///< time for which an agent may hold runs after word from the leader
-  Duration slack = milliseconds(300);            ///< added before runs of a silent agent count as lapsed
-  Duration leavingGrant = milliseconds(5500);    ///< the same while the agent's target leaves
-  Duration silence = milliseconds(2500);         ///< an agent not heard for this long gets no new runs
-  Duration redeliverAfter = milliseconds(1500);  ///< an order without result is given again after this
-  Duration fresh = milliseconds(150);     ///< an agent heard within this time is sure to be there: many round trips
-  unsigned reportsEachSecond = 1000;      ///< wanted from all agents together while nothing happens
-  Duration askLimit = milliseconds(150);  ///< an agent that was asked gets nothing new after this without an answer
-  // Switches with which proofs turn one mechanism off; all on in production.
-  bool waitForGrants = true;   ///< runs of a silent agent are over only when its grant has run out
-  bool inheritGrants = true;   ///< a new leader counts on grants that a former one gave until it began
-  bool withholdEnding = true;  ///< no start is ordered for a run whose end is on its way into the log
-  bool doubtReports = true;    ///< a report that was long on its way ends no run and shuts no newer agent out
+  Duration grant = milliseconds(5500);         ///< lease: how long an agent may hold runs after an answer of the leader
+  Duration slack = milliseconds(300);          ///< added to the end of a lease before the agent's runs count as lapsed
+  Duration leavingGrant = milliseconds(5500);  ///< upper limit of the lease while the agent's target is draining
+  Duration silence = milliseconds(2500);       ///< an agent gets no new runs once its last contact is this long ago
+  Duration redeliverAfter = milliseconds(1500);  ///< an order without a reported result is sent again after this time
+  /** An agent whose last contact is at most this long ago is taken to be reachable. Covers many round trips. */
+  Duration fresh = milliseconds(150);
+  unsigned reportsEachSecond = 1000;  ///< wanted rate of reports from all agents together while nothing happens
+  /** An agent that has not answered a request for a report within this time gets no new runs. */
+  Duration reportRequestTimeout = milliseconds(150);
+  // Proofs use these switches to turn single mechanisms off. All are on in production.
+  bool waitForGrants = true;   ///< the runs of a silent agent end only after its lease has expired
+  bool inheritGrants = true;   ///< a new leader assumes that the former one granted leases until the new one began
+  bool withholdEnding = true;  ///< a run whose end is about to be committed gets no start order
+  bool doubtReports = true;    ///< a delayed report neither ends runs nor displaces a newer incarnation of its agent
 };
 
 /** \class RunTrack
- * \brief What the leader believes of one active run, beyond the log.
+ * \brief What the leader knows about one active run in addition to the log.
  */
 struct RunTrack {
   std::string agent;
   std::string target;
-  bool confirmed = false;  ///< its start is known to have been carried out
+  bool confirmed = false;  ///< the start is known to have been carried out
   bool stopWanted = false;
-  bool ending = false;            ///< its end was given to be committed
-  bool inherited = false;         ///< a former leader may have ordered its start
-  std::uint64_t deliveredTo = 0;  ///< incarnation of the agent that was first ordered to start it; 0 is none
-  Time startDelivered{};
-  Time stopDelivered{};
-  Time startedAt{};
-  std::string checkpoint;  ///< newest one reported
-  std::uint32_t percent = 0;
-  std::uint32_t stillMs = 0;       ///< time for which it stood still when it was last seen, by its agent's clock
-  Time percentChanged{};           ///< when it was first seen at this percent, by the target's own word
-  std::uint32_t firstPercent = 0;  ///< when it was first seen ...
-  Time firstSeen{};                ///< ... at this instant; zero is never
-  Time seen{};                     ///< newest word of the target on it
+  bool endProposed = false;          ///< the end of the run was handed over to be committed
+  bool inherited = false;            ///< a former leader may have ordered the start
+  std::uint64_t firstOrderedTo = 0;  ///< incarnation of the agent that got the first start order; 0 if there was none
+  Time startOrderedAt{};           ///< when the agent's current incarnation was last ordered to start it; zero if never
+  Time stopOrderedAt{};            ///< when the agent's current incarnation was last ordered to stop it; zero if never
+  Time startedAt{};                ///< when the start was applied here, or when this leader began to lead
+  std::string checkpoint;          ///< newest checkpoint that was reported
+  std::uint32_t percent = 0;       ///< newest reported progress
+  std::uint32_t stillMs = 0;       ///< time without progress at the last sight, by the agent's clock
+  Time percentChanged{};           ///< when the run was first seen at this percentage; startedAt until it has changed
+  std::uint32_t firstPercent = 0;  ///< progress when the run was first seen
+  Time firstSeen{};                ///< when the run was first seen at its target; zero if never
+  Time seen{};                     ///< when the run was last seen at its target
   std::uint64_t usage = 0;
 };
 
 /** \class TargetTrack
- * \brief What the leader believes of one agent and the target that it guards.
+ * \brief What the leader knows about one agent and the target that it guards.
  */
 struct TargetTrack {
-  schema::TargetReport report;
+  schema::TargetReport report;  ///< newest description of the target
   std::uint64_t incarnation = 0;
-  std::uint64_t sequence = 0;  ///< of the newest report
-  std::uint64_t version = 0;   ///< of its description of the target; 0 is one that is told each time
-  std::uint32_t relay = 0;     ///< number under which the agent relays calls; 0 is not
-  bool relayed = false;        ///< its newest report came through another node
-  Time grantUntil{};
-  Time met{};          ///< when its agent first named a target; zero is not yet
-  Time heard{};        ///< when it was last heard
-  Time reached{};      ///< when its target was last in reach; at first when it was met
-  Time missedSince{};  ///< when it was last reported out of reach, or replaced without that; zero is never
-  std::set<std::string> missedWith;  ///< workflows that ran there then
-  Time askedAt{};                    ///< when a sign of life was first asked for since it was heard; zero is not
-  std::vector<RunKey> strays;        ///< reported as running, but not active in the log, or meant for a former life
+  std::uint64_t sequence = 0;  ///< sequence number of the newest report
+  std::uint64_t version = 0;   ///< version of the target's description; 0 if every report contains the description
+  std::uint32_t relay = 0;     ///< number under which the agent relays calls; 0 if it does not relay
+  bool relayed = false;        ///< the newest report came through another node
+  Time grantUntil{};           ///< end of the latest lease
+  Time firstTargetReport{};    ///< when the agent first named a target; zero if it has not yet
+  Time heard{};                ///< last contact with the agent
+  Time lastReachable{};        ///< when the target was last reachable; initially the time of the first report
+  Time
+      lostSince{};  ///< when the target was last reported unreachable, or replaced without such a report; zero if never
+  std::set<std::string> workflowsAtLoss;  ///< workflows that had runs on the target at lostSince
+  Time reportRequestedAt{};    ///< when a report was first requested since the last contact; zero if none was
+  std::vector<RunKey> strays;  ///< runs reported as running that the log does not hold as active on this incarnation
 };
 
 /** \class TargetOffer
- * \brief What a plan may count on at one target.
+ * \brief What one target currently offers to a plan.
  */
 struct TargetOffer {
-  std::string life;
-  bool open = false;  ///< it may be given new runs
-  Room room;          ///< all of it, whatever runs there
+  std::string life;   ///< name of the target's incarnation
+  bool open = false;  ///< the target may be given new runs
+  Room room;          ///< total capacity, including what current runs use
   bool operator==(const TargetOffer& other) const = default;
 };
 
@@ -105,100 +108,105 @@
  * \brief An agent that relays calls to control.
  */
 struct RelayAgent {
-  std::uint32_t number = 0;  ///< by which nodes find it
+  std::uint32_t number = 0;  ///< number by which nodes find the agent
   std::string dataHall;
 };
 
 /** \class RunLedger
- * \brief The leader's account of runs between the log and the agents.
+ * \brief The leader's record of active runs, which reconciles the log with the agents' reports.
  *
- * A plain class without clock or socket: it is told what was committed and what agents report, and says which ends to
- * commit and which orders to give. Rules that it keeps: an order is given only for a run that the log holds as active;
- * a run is over only when its target listed its end, its target's life is over, its agent made sure that it never
- * began, or every grant that could have kept it alive has surely run out. \sa WorkflowTable, RunAgent
+ * The class uses no clock and no sockets. The caller passes in committed changes and the agents' reports; the ledger
+ * returns the ends to commit and the orders to send. It keeps two rules. An order is issued only for a run that the log
+ * holds as active. A run ends only when its target listed the end, when the target's incarnation is over, when its
+ * agent ensured that the run never started, or when every lease that could have kept the run alive has certainly
+ * expired.
+ * \sa WorkflowTable, RunAgent
  */
 class RunLedger {
  public:
   explicit RunLedger(RunLedgerOptions options = {}) : m_options(options) {}
 
-  /** Begins to lead: everything that a former leader knew has to be learnt again. \param term in which it leads */
+  /** Begins to lead. Discards all state about agents and targets, which has to be learnt again from their reports.
+   * \param table supplies the active runs, which count as inherited \param term term in which this replica leads */
   void lead(const WorkflowTable& table, Time now, std::uint64_t term = 0);
-  /** Takes committed changes in. \param inherited whether a former leader made them: their starts may have been ordered
-   */
+  /** Applies committed changes. \param inherited whether a former leader made them, so that it may have ordered their
+   * starts */
   void apply(const std::vector<RunChange>& changes, Time now, bool inherited = false);
-  /** \returns whether a report counts here: its agent has had an answer of this leader, so that the report cannot be
-   * older than the leader itself. Any other is only to be answered. */
+  /** \returns whether a report may change the ledger: its agent has had an answer from this leader, so the report
+   * cannot be older than this leadership. Any other report only gets an answer. */
   bool isCurrent(const schema::AttendRequest& report) const;
-  /** \returns whether a report was overtaken by a newer one: on another connection, or through another node. */
+  /** \returns whether a newer report arrived before this one, on another connection or through another node. */
   bool isOvertaken(const schema::AttendRequest& report) const;
-  /** Adds what a report leaves out because the leader has it. \returns false if it does not: the report tells too
-   * little to be taken in */
+  /** Adds the target's description where the report omits it because the leader has it. \returns false if the leader
+   * does not have that description; the report must not be applied then */
   bool complete(schema::AttendRequest& report) const;
-  /** \returns whether this leader has taken a report of the same life of an agent in before. */
+  /** \returns whether this leader has already applied a report of the same incarnation of the agent. */
   bool isKnown(const schema::AttendRequest& report) const;
-  /** Takes an agent's report in; of one that does not count or was overtaken only that the agent was met. \returns ends
-   * to commit; those of the target may be forgotten only afterwards */
+  /** Applies an agent's report. Of a report that is not current or was overtaken it records only the contact with that
+   * incarnation of the agent. \returns ends to commit; the target may be allowed to forget its ends only after the
+   * commit */
   std::vector<schema::RunEnd> takeReport(const schema::AttendRequest& report, Time now);
-  /** \returns ends of runs that nothing can hold any longer. */
+  /** \returns ends of runs whose leases have all expired. */
   std::vector<schema::RunEnd> expire(Time now);
-  /** Grants an agent that it may hold its runs from now on. \returns for how long: less if its target leaves, since an
-   * agent that leaves with it says no last word; not at all while it reports no target, whose runs would never lapse */
+  /** Grants an agent a lease for its runs, beginning now. \returns the length of the lease. It is limited to
+   * leavingGrant while the target drains, since an agent that leaves together with its target sends no final report. It
+   * is zero while the agent reports no target, since runs would never lapse otherwise. */
   Duration grant(const std::string& agent, Time now);
-  /** \returns orders that are due for an agent, and counts them as delivered. */
+  /** \returns the orders that are due for an agent, and records them as sent. */
   std::vector<schema::RunOrder> takeOrders(const std::string& agent, const WorkflowTable& table, Time now);
-  /** \returns whether takeOrders() would give any. */
+  /** \returns whether starts or stops of active runs are due for an agent. Stops of stray runs do not count. */
   bool hasOrders(const std::string& agent, const WorkflowTable& table, Time now) const;
-  /** \returns whether a run was seen for longer than a crash at its start takes. \param members of its gang, which
-   * works only once all are there; 1 for a task of its own */
+  /** \returns whether a run was seen for at least StartPhase. \param members size of the run's gang, which is measured
+   * from the time at which all members had been seen, since it works only then; 1 for a single task */
   bool lived(const RunKey& key, std::uint32_t members) const;
-  /** Wants a run stopped. \returns its agent, or an empty string if the run is not active */
+  /** Requests that a run be stopped. \returns its agent, or an empty string if the run is not active */
   std::string wantStop(const RunKey& key);
 
   const std::map<RunKey, RunTrack>& runs() const { return m_runs; }
   const std::map<std::string, TargetTrack>& targets() const { return m_targets; }
-  /** \returns for how long reports may be held back, so that those without news are as many as wanted; always less than
-   * an agent may be silent. */
+  /** \returns how long an agent may delay a report without changes, so that all agents together send about
+   * reportsEachSecond. It is always shorter than the time for which an agent may be silent. */
   Duration reportWait() const;
-  /** \returns a number that is another one whenever a target has come, or is described in another way: its life,
-   * service, rack, data hall, labels or room. */
+  /** \returns a number that increases whenever a target is added or its description changes: incarnation, service,
+   * rack, data hall, labels or capacity. */
   std::uint64_t descriptions() const { return m_descriptions; }
   /** \returns whether an agent may be given new runs now. */
   bool open(const std::string& agent, Time now) const;
   bool open(const TargetTrack& target, Time now) const;
   /** \returns what an agent's target offers now. */
   TargetOffer offer(const std::string& agent, Time now) const;
-  /** \returns whether an agent that may not be given new runs now is expected to be soon: its target does not leave,
-   * and has not been out of reach for longer than its runs would outlast. */
+  /** \returns whether a target that is closed to new runs is expected to open soon: it is not draining, and it was last
+   * reachable no longer ago than a full lease with its slack, which its runs would outlast. */
   bool awaited(const std::string& agent, Time now) const;
   bool awaited(const TargetTrack& target, Time now) const;
-  /** \returns whether an agent was heard so lately that a start will reach it. */
+  /** \returns whether the last contact with an agent is so recent that a start will reach it. */
   bool fresh(const std::string& agent, Time now) const;
-  /** Wants a sign of life from an agent: its report is not to be held back any longer. */
+  /** Requests a report from an agent, which is not to be delayed any longer. */
   void ask(const std::string& agent, Time now);
-  /** \returns whether an agent owes a sign of life. */
+  /** \returns whether a requested report of an agent is outstanding. */
   bool asked(const std::string& agent) const;
-  /** \returns whether targets are still coming, as they do after a start: of those that are known, many were first
-   * named within the time for which an agent may be silent. */
+  /** \returns whether targets are still registering, as they do after a start: this replica has led for less than the
+   * time for which an agent may be silent, or many of the known targets were first named within that time. */
   bool arriving(Time now) const;
-  /** \returns agents that relay calls to control and were heard lately without a relay. */
+  /** \returns agents that relay calls to control and were recently in contact without a relay. */
   std::vector<RelayAgent> relays(Time now) const;
   const RunLedgerOptions& options() const { return m_options; }
 
  private:
-  void meet(const schema::AttendRequest& report);
-  std::size_t metAs(const std::string& agent, std::uint64_t incarnation) const;
+  void recordContact(const schema::AttendRequest& report);
+  std::size_t contactOrder(const std::string& agent, std::uint64_t incarnation) const;
   schema::RunEnd makeEnd(const RunKey& key, schema::RunEndKind kind, const std::string& checkpoint);
-  void noteCrashes(const schema::AttendRequest& report, const schema::TargetReport& before,
-                   std::vector<schema::RunEnd>& ends) const;
+  void classifyCrashes(const schema::AttendRequest& report, const schema::TargetReport& before,
+                       std::vector<schema::RunEnd>& ends) const;
   TargetTrack& track(const std::string& agent);
-  void noteMissed(const std::string& agent, TargetTrack& target, Time now);
-  bool wentWithOthers(const std::string& agent, const std::string& workflow) const;
-  bool mayHaveBegun(const RunTrack& track, std::uint64_t incarnation) const;
-  void takeRows(const schema::AttendRequest& report, Time now);
-  bool guards(const std::string& agent, const RunTrack& track) const;
+  void recordTargetLoss(const std::string& agent, TargetTrack& target, Time now);
+  bool lostWithOthers(const std::string& agent, const std::string& workflow) const;
+  bool mayHaveStarted(const RunTrack& track, std::uint64_t incarnation) const;
+  void applyRunReports(const schema::AttendRequest& report, Time now);
+  bool guardsTargetOf(const std::string& agent, const RunTrack& track) const;
   bool startDue(const RunTrack& track, Time now) const;
   bool stopDue(const RunKey& key, const RunTrack& track, const WorkflowTable& table, Time now) const;
-  Time heldUntil(const std::string& agent) const;
+  Time leaseEnd(const std::string& agent) const;
   void add(const schema::TaskId& task, const schema::ActiveRun& run, Time now, bool inherited);
 
   RunLedgerOptions m_options;
@@ -207,18 +215,20 @@
   std::uint64_t m_descriptions = 0;
   std::map<RunKey, RunTrack> m_runs;
   std::map<std::string, std::set<RunKey>> m_byAgent;
-  std::map<std::string, TargetTrack> m_targets;                       ///< by agent
-  std::multimap<Time, std::string> m_missed;                          ///< agents by missedSince
-  std::map<std::string, std::map<std::uint64_t, std::size_t>> m_met;  ///< by agent: its incarnations, as first heard
+  std::map<std::string, TargetTrack> m_targets;  ///< by agent
+  std::multimap<Time, std::string> m_losses;     ///< agents by the lostSince of their targets
+  /** By agent: its incarnations, numbered from 1 in the order of their first contact. */
+  std::map<std::string, std::map<std::uint64_t, std::size_t>> m_incarnations;
 };
 
 RunKey runKeyOf(const schema::TaskId& task, std::uint32_t run);
 
-/** \returns whether a target's going away has a cause outside of a workflow that ran there. \param others targets that
- * went at the same moment and ran nothing of the workflow */
+/** \returns whether the loss of a target has a cause outside of a workflow that ran there. \param others number of
+ * targets that were lost at about the same time and ran nothing of that workflow */
 bool speaksForOthers(std::size_t others);
 
-/** \returns the time for which agents may hold runs after word from the leader: at least an outage and an election. */
+/** \returns the length of a lease of an agent: at least run_grant_ms, and at least an outage (outage_s, if set) plus
+ * the time for an election. */
 Duration grantLength(const schema::ControlSettings& settings);
 
 }  // namespace courseloom
--- a/Courseloom/src/Scheduling/RunLedgerCrashes.cpp
+++ b/Courseloom/src/Scheduling/RunLedgerCrashes.cpp
@@ -1,7 +1,7 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// The part of RunLedger that tells of lost runs whether their targets crashed under them.
+// The part of RunLedger that decides for each lost run whether its target crashed under it.
 
 #include <algorithm>
 
@@ -12,49 +12,51 @@
 namespace internal {
 namespace {
 
-/** Reports of targets that went at one moment come within this time of each other. */
-constexpr Duration GoneTogether = milliseconds(500);
-/** Two targets may well go at one moment for causes of their own. */
-constexpr std::size_t LeastOthers = 2;
+/** Losses of targets that have one cause are reported within this time of each other. */
+constexpr Duration CommonLossWindow = milliseconds(500);
+/** Number of other targets lost at about the same time from which a common cause is assumed. Two targets may well be
+ * lost together for separate causes. */
+constexpr std::size_t MinOthersLost = 2;
 
 }  // namespace
 }  // namespace internal
 
-bool speaksForOthers(std::size_t others) { return others >= internal::LeastOthers; }
+bool speaksForOthers(std::size_t others) { return others >= internal::MinOthersLost; }
 
-void RunLedger::noteMissed(const std::string& agent, TargetTrack& target, Time now) {
-  const auto [first, last] = m_missed.equal_range(target.missedSince);
+void RunLedger::recordTargetLoss(const std::string& agent, TargetTrack& target, Time now) {
+  const auto [first, last] = m_losses.equal_range(target.lostSince);
   const auto former = std::find_if(first, last, [&agent](const auto& entry) { return entry.second == agent; });
-  if (former != last) m_missed.erase(former);
-  target.missedSince = now;
-  m_missed.emplace(now, agent);
-  target.missedWith.clear();
-  for (const RunKey& key : m_byAgent[agent]) target.missedWith.insert(key.workflow);
+  if (former != last) m_losses.erase(former);
+  target.lostSince = now;
+  m_losses.emplace(now, agent);
+  target.workflowsAtLoss.clear();
+  for (const RunKey& key : m_byAgent[agent]) target.workflowsAtLoss.insert(key.workflow);
 }
 
-/** Tasks of one workflow may crash as many targets at once as it is wide; a cause outside hits others too, however
- * large the fleet. */
-bool RunLedger::wentWithOthers(const std::string& agent, const std::string& workflow) const {
-  const Time since = m_targets.at(agent).missedSince;
+/** \returns whether enough targets that ran nothing of a workflow were lost together with an agent's target. The tasks
+ * of one workflow may crash as many targets at once as it has parallel tasks, so the number of lost targets alone says
+ * nothing; an external cause also hits targets without the workflow, however large the fleet is. */
+bool RunLedger::lostWithOthers(const std::string& agent, const std::string& workflow) const {
+  const Time since = m_targets.at(agent).lostSince;
   if (since == Time{}) return false;
   std::size_t others = 0;
-  const auto last = m_missed.upper_bound(since + internal::GoneTogether);
-  for (auto missed = m_missed.lower_bound(since - internal::GoneTogether); missed != last; ++missed) {
-    if (m_targets.at(missed->second).missedWith.count(workflow) == 0) ++others;
+  const auto last = m_losses.upper_bound(since + internal::CommonLossWindow);
+  for (auto loss = m_losses.lower_bound(since - internal::CommonLossWindow); loss != last; ++loss) {
+    if (m_targets.at(loss->second).workflowsAtLoss.count(workflow) == 0) ++others;
     if (speaksForOthers(others)) return true;
   }
   return false;
 }
 
-/** \returns whether a run may have begun although its agent knows nothing of it. */
-bool RunLedger::mayHaveBegun(const RunTrack& track, std::uint64_t incarnation) const {
-  return track.inherited || (track.deliveredTo != 0 && track.deliveredTo != incarnation);
+/** \returns whether a run may have started although this incarnation of its agent has no record of it. */
+bool RunLedger::mayHaveStarted(const RunTrack& track, std::uint64_t incarnation) const {
+  return track.inherited || (track.firstOrderedTo != 0 && track.firstOrderedTo != incarnation);
 }
 
-/** Only the agent beside a target saw how closely its going away followed a start. \param before what the agent last
- * reported of the target that was lost */
-void RunLedger::noteCrashes(const schema::AttendRequest& report, const schema::TargetReport& before,
-                            std::vector<schema::RunEnd>& ends) const {
+/** Sets the crash field of ends of lost runs, mostly from the agent's report: only the agent beside a target saw how
+ * soon after a start the target was lost. \param before the agent's previous report of the target */
+void RunLedger::classifyCrashes(const schema::AttendRequest& report, const schema::TargetReport& before,
+                                std::vector<schema::RunEnd>& ends) const {
   std::map<RunKey, const schema::LostRun*> lost;
   for (const schema::LostRun& row : report.lost()) lost.emplace(runKeyOf(row.task(), row.run()), &row);
   for (schema::RunEnd& end : ends) {
@@ -63,15 +65,16 @@
     const RunTrack& track = m_runs.at(key);
     const auto row = lost.find(key);
     const bool planned = before.id() == track.target && before.draining();
-    const bool untold = end.kind() == schema::RunTargetLost && !planned && mayHaveBegun(track, report.incarnation());
+    const bool startUnreported =
+        end.kind() == schema::RunTargetLost && !planned && mayHaveStarted(track, report.incarnation());
     if (row == lost.end()) {
-      end.set_crash(untold ? schema::CrashUnclear : schema::NoCrash);
+      end.set_crash(startUnreported ? schema::CrashUnclear : schema::NoCrash);
       continue;
     }
-    // Not right after its start, and others went too: the cause lies outside.
-    const bool later = row->second->crash() == schema::CrashUnclear && row->second->after_ms() > 0;
-    const bool outside = later && wentWithOthers(report.agent(), key.workflow);
-    end.set_crash(outside ? schema::NoCrash : row->second->crash());
+    // The loss did not follow the start directly, and other targets were lost too, so the cause is external.
+    const bool delayedLoss = row->second->crash() == schema::CrashUnclear && row->second->after_ms() > 0;
+    const bool externalCause = delayedLoss && lostWithOthers(report.agent(), key.workflow);
+    end.set_crash(externalCause ? schema::NoCrash : row->second->crash());
     end.set_crash_after_ms(row->second->after_ms());
   }
 }
--- a/Courseloom/src/Scheduling/RunPace.cpp
+++ b/Courseloom/src/Scheduling/RunPace.cpp
@@ -10,8 +10,8 @@
 namespace internal {
 namespace {
 
-/** Share of a task, percent, that has to be seen before its pace tells when it ends: ten steps of its gauge. */
-constexpr std::uint32_t TellingPercent = 10;
+/** Progress, percent, that has to be observed before it is extrapolated: ten steps of the reported percentage. */
+constexpr std::uint32_t MinObservedPercent = 10;
 constexpr double WholePercent = 100.0;
 
 }  // namespace
@@ -28,16 +28,16 @@
 }
 
 std::optional<double> wholeByPaceMs(const RunTrack& track) {
-  const bool seen = track.firstSeen != Time{} && track.percent >= track.firstPercent + internal::TellingPercent;
-  const double tookMs = toMilliseconds(track.percentChanged - track.firstSeen);
-  if (!seen || tookMs <= 0.0) return std::nullopt;
-  return internal::WholePercent * tookMs / (track.percent - track.firstPercent);
+  const bool seen = track.firstSeen != Time{} && track.percent >= track.firstPercent + internal::MinObservedPercent;
+  const double elapsedMs = toMilliseconds(track.percentChanged - track.firstSeen);
+  if (!seen || elapsedMs <= 0.0) return std::nullopt;
+  return internal::WholePercent * elapsedMs / (track.percent - track.firstPercent);
 }
 
 std::optional<double> remainingByPaceMs(const RunTrack& track, Time now) {
-  const std::optional<double> wholeMs = wholeByPaceMs(track);
-  if (!wholeMs) return std::nullopt;
-  const double leftMs = *wholeMs * (internal::WholePercent - track.percent) / internal::WholePercent;
+  const std::optional<double> durationMs = wholeByPaceMs(track);
+  if (!durationMs) return std::nullopt;
+  const double leftMs = *durationMs * (internal::WholePercent - track.percent) / internal::WholePercent;
   return std::max(0.0, leftMs - toMilliseconds(now - track.percentChanged));
 }
 
--- a/Courseloom/src/Scheduling/RunPace.h
+++ b/Courseloom/src/Scheduling/RunPace.h
@@ -11,17 +11,18 @@
 
 namespace courseloom {
 
-/** \returns the longest time that a member of a gang's run still needs, ms: the gang ends with its slowest member.
- * \param runs all active runs \param member any member \param count members that the gang has
- * \param remainingMs tells how long one run still needs, ms */
+/** \returns the remaining time of a gang, ms: that of its slowest member, since the gang ends with it. Members without
+ * an active run do not count. \param runs all active runs \param member any member of the gang \param count size of the
+ * gang \param remainingMs returns the remaining time of one run, ms */
 double gangRemainingMs(const std::map<RunKey, RunTrack>& runs, const RunKey& member, std::uint32_t count,
                        const std::function<double(const RunTrack&)>& remainingMs);
 
-/** \returns the time that a run's task takes from its beginning to its end by the run's own pace, ms, or nothing while
- * too little of it was seen. */
+/** \returns the duration of a run's task from 0 % to 100 %, ms, extrapolated from the run's own progress; nothing while
+ * too little progress was observed. */
 std::optional<double> wholeByPaceMs(const RunTrack& track);
 
-/** \returns the time that a run still needs by its own pace, ms, or nothing while too little of it was seen. */
+/** \returns the remaining time of a run, ms, extrapolated from its own progress; nothing while too little progress was
+ * observed. Never negative. */
 std::optional<double> remainingByPaceMs(const RunTrack& track, Time now);
 
 }  // namespace courseloom
--- a/Courseloom/src/Scheduling/TargetHealth.cpp
+++ b/Courseloom/src/Scheduling/TargetHealth.cpp
@@ -20,29 +20,29 @@
 }
 
 const std::set<std::string>& TargetHealth::failedOn(const std::string& workflow) const {
-  static const std::set<std::string> none;
+  static const std::set<std::string> noTargets;
   const auto found = m_failedOn.find(workflow);
-  return found == m_failedOn.end() ? none : found->second;
+  return found == m_failedOn.end() ? noTargets : found->second;
 }
 
-void TargetHealth::suspectNow(Score& score, Time now) {
+void TargetHealth::markSuspect(Score& score, Time now) {
   score.suspicion = score.suspicion == Duration(0) ? m_options.firstSuspicion : score.suspicion * 2;
   score.suspicion = std::min(score.suspicion, m_options.longestSuspicion);
   score.suspectUntil = now + score.suspicion;
 }
 
-void TargetHealth::trust(Score& score) {
+void TargetHealth::clearSuspicion(Score& score) {
   score.suspicion = Duration(0);
   score.suspectUntil = Time{};
 }
 
-/** What a workflow at fault said against targets no longer counts. */
-void TargetHealth::takeBack(const std::string& workflow) {
+/** Stops counting the failures of a workflow that is itself at fault. */
+void TargetHealth::withdrawFailures(const std::string& workflow) {
   for (const std::string& target : m_failedOn[workflow]) {
     Score& score = m_targets[target];
     score.failed.erase(workflow);
-    if (score.stalled || score.failed.size() >= m_options.failuresSuspect) continue;
-    trust(score);
+    if (score.stalled || score.failed.size() >= m_options.failuresUntilSuspect) continue;
+    clearSuspicion(score);
   }
 }
 
@@ -52,7 +52,7 @@
     if (found == m_targets.end()) return;
     found->second.failed.clear();
     found->second.stalled = false;
-    trust(found->second);
+    clearSuspicion(found->second);
     found->second.cautionUntil = Time{};
     found->second.doubtedUntil = Time{};
     return;
@@ -61,20 +61,20 @@
   if (kind != schema::RunFailed) return;
   std::set<std::string>& failedOn = m_failedOn[workflow];
   failedOn.insert(target);
-  if (failedOn.size() > m_options.failuresSuspect) return takeBack(workflow);
+  if (failedOn.size() > m_options.failuresUntilSuspect) return withdrawFailures(workflow);
   Score& score = m_targets[target];
   score.cautionUntil = now + m_options.failureCaution;
   score.failed.insert(workflow);
-  score.doubtedUntil = now + m_options.doubt;
-  // Several runs that began together fail together; only what began after the suspicion deepens it.
-  const bool deepens = score.failed.size() >= m_options.failuresSuspect && now >= score.suspectUntil;
-  if (deepens) suspectNow(score, now);
+  score.doubtedUntil = now + m_options.doubtTime;
+  // Runs that were started together often fail together. Failures during a suspicion therefore do not prolong it.
+  const bool prolongs = score.failed.size() >= m_options.failuresUntilSuspect && now >= score.suspectUntil;
+  if (prolongs) markSuspect(score, now);
 }
 
 void TargetHealth::stalled(const std::string& target, Time now) {
   m_targets[target].stalled = true;
-  m_targets[target].doubtedUntil = now + m_options.doubt;
-  suspectNow(m_targets[target], now);
+  m_targets[target].doubtedUntil = now + m_options.doubtTime;
+  markSuspect(m_targets[target], now);
 }
 
 void TargetHealth::refused(const std::string& target, Time now) {
@@ -96,7 +96,7 @@
 bool TargetHealth::tooManySuspect(const std::vector<std::string>& targets, Time now) const {
   const auto suspects =
       std::count_if(targets.begin(), targets.end(), [&](const std::string& target) { return suspect(target, now); });
-  return static_cast<double>(suspects) > m_options.mostSuspects * static_cast<double>(targets.size());
+  return static_cast<double>(suspects) > m_options.maxSuspectShare * static_cast<double>(targets.size());
 }
 
 std::set<std::string> TargetHealth::doubted(Time now) const {
--- a/Courseloom/src/Scheduling/TargetHealth.h
+++ b/Courseloom/src/Scheduling/TargetHealth.h
@@ -14,30 +14,34 @@
 namespace courseloom {
 
 /** \class TargetHealthOptions
- * \brief When a target is taken to be unsound, and for how long.
+ * \brief When a target becomes suspect, and for how long it is avoided.
  */
 struct TargetHealthOptions {
-  unsigned failuresSuspect = 2;                  ///< failed runs of different workflows without one that was done
-  Duration firstSuspicion = milliseconds(4000);  ///< doubles with each further one
+  /** A target is suspect once this many workflows have had a failed run there since the last run that was done.
+   * A workflow that has failed on more targets than this is taken to be at fault itself. */
+  unsigned failuresUntilSuspect = 2;
+  Duration firstSuspicion = milliseconds(4000);  ///< length of the first suspicion; doubles with each further one
   Duration longestSuspicion = milliseconds(32000);
-  /** Time after a suspicion for which the target has to show that it works; a gang that needs more of it than one run
-   * would wait for good where no other work comes. Longer than most tasks run, so that one that is tried may end. */
+  /** Time after a suspicion during which the target gets one run at a time. It is limited because a gang that needs
+   * room for more than one run on the target would otherwise wait forever if no other work arrives. It is longer than
+   * most tasks run, so that a trial run can end within it. */
   Duration longestProbation = milliseconds(15000);
-  Duration failureCaution = milliseconds(3000);  ///< after one failure others are preferred for this long
-  /** Time after a failure or a standstill for which a target without anything done since is doubted. */
-  Duration doubt = milliseconds(15000);
-  double suspectPenalty = 500.0;              ///< cost of a suspect target where suspicion does not close it
-  double cautionPenalty = 50.0;               ///< of a target on which anything has failed lately
-  double mostSuspects = 0.5;                  ///< share of the targets beyond which suspicion closes none
-  Duration refusalPause = milliseconds(400);  ///< no new runs after the target refused one
+  Duration failureCaution = milliseconds(3000);  ///< other targets are preferred for this long after a failure
+  /** Time after a failure or a stall for which the target is doubted, unless a run is done there in between. */
+  Duration doubtTime = milliseconds(15000);
+  double suspectPenalty = 500.0;  ///< placement cost of a suspect target, where suspicion does not close it to new runs
+  double cautionPenalty = 50.0;   ///< placement cost of a target for failureCaution after a failure
+  double maxSuspectShare = 0.5;   ///< if more than this share of the targets is suspect, suspicion closes none of them
+  Duration refusalPause = milliseconds(400);  ///< a target gets no new runs for this long after it refused one
 };
 
 /** \class TargetHealth
- * \brief Tells failing, hanging and slow targets from tasks that fail by their own fault.
+ * \brief Distinguishes failing, stalling and slow targets from tasks that fail through their own fault.
  *
- * A target is suspect when runs of several workflows failed or stalled on it with none done in between. It gets nothing
- * for a while, then one run at a time until one is done or a while has passed. A workflow that fails on one target
- * after another is at fault itself, and what it said against targets is taken back.
+ * A target is suspect when runs of several workflows have failed on it, or one has stalled, with none done in between.
+ * A suspect target gets no new runs for a time. After that it is on probation and gets one run at a time until one is
+ * done or the probation ends. A workflow that fails on one target after another is itself at fault, so its failures no
+ * longer count against targets.
  * \sa RunPlanner
  */
 class TargetHealth {
@@ -45,48 +49,48 @@
   explicit TargetHealth(TargetHealthOptions options = {}) : m_options(options) {}
 
   void clear();
-  /** Forgets a workflow that has ended. */
+  /** Removes the record of a workflow that has ended. */
   void forget(const std::string& workflow) { m_failedOn.erase(workflow); }
-  /** Takes a committed end in. */
+  /** Records the committed end of a run. */
   void ended(const std::string& target, const std::string& workflow, schema::RunEndKind kind, Time now);
-  /** A run stood still there. */
+  /** Records that a run made no progress on the target. */
   void stalled(const std::string& target, Time now);
-  /** The target refused a run, or never began it. */
+  /** Records that the target refused a run or never started it. */
   void refused(const std::string& target, Time now);
 
-  /** \returns whether the target gets nothing new, unless too many are suspect. */
+  /** \returns whether the target is suspect now. It gets no new runs then, unless tooManySuspect(). */
   bool suspect(const std::string& target, Time now) const;
-  /** \returns whether the target, suspect before, has yet to show that it works: one run at a time. */
+  /** \returns whether the target's suspicion has ended, but the target may get only one run at a time for now. */
   bool onProbation(const std::string& target, Time now) const;
-  /** \returns whether so many of the targets are suspect that the fault must lie elsewhere. */
+  /** \returns whether so many of the targets are suspect that the cause is assumed to lie elsewhere. */
   bool tooManySuspect(const std::vector<std::string>& targets, Time now) const;
-  /** \returns the cost of placing anything on a target now. */
+  /** \returns the cost of placing a run on a target now; zero for one in good health. */
   double penalty(const std::string& target, Time now) const;
   /** \returns the targets on which a workflow has failed. */
   const std::set<std::string>& failedOn(const std::string& workflow) const;
-  /** \returns targets on which what ended last has failed or stood still, a while ago at most: not for a task whose
-   * next failure ends its workflow. */
+  /** \returns targets on which a run has failed or stalled within doubtTime, with none done since. A task whose next
+   * failure would end its workflow should avoid them. */
   std::set<std::string> doubted(Time now) const;
-  /** \returns whether the target should get nothing for a moment. */
+  /** \returns whether the target should get no new runs because it refused one within refusalPause. */
   bool paused(const std::string& target, Time now) const;
 
  private:
   struct Score {
-    std::set<std::string> failed;  ///< workflows that failed there since the last success
-    bool stalled = false;          ///< a run stood still there since the last success
+    std::set<std::string> failed;  ///< workflows with a failed run there since the last run that was done
+    bool stalled = false;          ///< whether a run has stalled there since the last run that was done
     Time suspectUntil{};
-    Duration suspicion{};
+    Duration suspicion{};  ///< length of the latest suspicion; zero if the target has been trusted since
     Time cautionUntil{};
     Time doubtedUntil{};
     Time pausedUntil{};
   };
-  void suspectNow(Score& score, Time now);
-  static void trust(Score& score);
-  void takeBack(const std::string& workflow);
+  void markSuspect(Score& score, Time now);
+  static void clearSuspicion(Score& score);
+  void withdrawFailures(const std::string& workflow);
 
   TargetHealthOptions m_options;
   std::map<std::string, Score> m_targets;
-  std::map<std::string, std::set<std::string>> m_failedOn;  ///< targets by workflow
+  std::map<std::string, std::set<std::string>> m_failedOn;  ///< by workflow: targets on which it has failed
 };
 
 }  // namespace courseloom
