--- a/Courseloom/src/Scheduling/GuaranteeBook.cpp
+++ b/Courseloom/src/Scheduling/GuaranteeBook.cpp
@@ -11,30 +11,31 @@
 namespace internal {
 namespace {
 
-/** Tighter adjacency is harder to place. */
+/** \returns a rank of an adjacency, higher for a tighter one, which is harder to place. */
 int tightness(schema::Adjacency adjacency) {
   if (adjacency == schema::SameWorker) return 3;
   if (adjacency == schema::SameRack) return 2;
   return adjacency == schema::SameDataHall ? 1 : 0;
 }
 
-/** What both rooms have: the free part of what may be used. */
-Capacities common_part(const Capacities& lhs, const Capacities& rhs) {
-  Capacities both(lhs.size());
+/** \returns, for each worker, the capacity that both arguments contain: the part of the usable capacity that is free.
+ */
+Capacities intersection(const Capacities& lhs, const Capacities& rhs) {
+  Capacities common(lhs.size());
   for (std::size_t i = 0; i < lhs.size(); ++i) {
-    both[i] = {lhs[i].accelerators & rhs[i].accelerators, std::min(lhs[i].cores, rhs[i].cores),
-               std::min(lhs[i].memoryMb, rhs[i].memoryMb)};
+    common[i] = {lhs[i].accelerators & rhs[i].accelerators, std::min(lhs[i].cores, rhs[i].cores),
+                 std::min(lhs[i].memoryMb, rhs[i].memoryMb)};
   }
-  return both;
+  return common;
 }
 
 }  // namespace
 }  // namespace internal
 
 schema::Shape Guarantee::unusedShape() const {
-  schema::Shape rest = shape;
-  rest.set_tasks(unused());
-  return rest;
+  schema::Shape remaining = shape;
+  remaining.set_tasks(unused());
+  return remaining;
 }
 
 bool Guarantee::holds(const std::string& ofWorkspace, const schema::Shape& job) const {
@@ -65,51 +66,52 @@
   return order;
 }
 
-bool GuaranteeBook::keepWitness(Guarantee& guarantee, Capacities& room) const {
+bool GuaranteeBook::keepWitness(Guarantee& guarantee, Capacities& capacity) const {
   if (!guarantee.witnessed || guarantee.witness.size() != guarantee.unused()) return false;
-  Capacities rest = room;
+  Capacities remaining = capacity;
   for (const TaskPlace& place : guarantee.witness) {
-    if (place.worker >= rest.size() || !rest[place.worker].covers(place.part)) return false;
-    rest[place.worker].subtract(place.part);
+    if (place.worker >= remaining.size() || !remaining[place.worker].covers(place.part)) return false;
+    remaining[place.worker].subtract(place.part);
   }
-  room = std::move(rest);
+  capacity = std::move(remaining);
   return true;
 }
 
-bool GuaranteeBook::findWitness(Guarantee& guarantee, Capacities& room, const Capacities& preferred) const {
+bool GuaranteeBook::findWitness(Guarantee& guarantee, Capacities& capacity, const Capacities& preferred) const {
   const schema::Shape shape = guarantee.unusedShape();
   guarantee.reason.clear();
   guarantee.witness.clear();
   guarantee.witnessed = true;
   if (guarantee.unused() == 0) return true;
-  guarantee.witness = m_search.find(shape, internal::common_part(room, preferred));
-  if (guarantee.witness.empty()) guarantee.witness = m_search.find(shape, room);
+  guarantee.witness = m_search.find(shape, internal::intersection(capacity, preferred));
+  if (guarantee.witness.empty()) guarantee.witness = m_search.find(shape, capacity);
   guarantee.witnessed = !guarantee.witness.empty();
   if (!guarantee.witnessed) {
     guarantee.reason = std::to_string(shape.tasks()) + " tasks of " + std::to_string(shape.accelerators()) +
                        " accelerators cannot be held together any more";
   }
-  subtractAll(room, guarantee.witness);
+  subtractAll(capacity, guarantee.witness);
   return guarantee.witnessed;
 }
 
-bool GuaranteeBook::search(Capacities room, const Capacities& preferred, bool keepSound) {
+bool GuaranteeBook::findWitnesses(Capacities capacity, const Capacities& preferred, bool keepValid) {
   std::vector<std::size_t> missing;
   for (const std::size_t i : searchOrder()) {
-    const bool kept = keepSound && keepWitness(m_guarantees[i], room);
+    const bool kept = keepValid && keepWitness(m_guarantees[i], capacity);
     if (!kept) missing.push_back(i);
   }
   bool all = true;
-  for (const std::size_t i : missing) all = findWitness(m_guarantees[i], room, preferred) && all;
+  for (const std::size_t i : missing) all = findWitness(m_guarantees[i], capacity, preferred) && all;
   return all;
 }
 
-bool GuaranteeBook::rebuild(const Capacities& room, const Capacities& free) {
-  return search(room, free, true) || search(room, free, false) || search(room, room, false);
+bool GuaranteeBook::rebuild(const Capacities& capacity, const Capacities& free) {
+  return findWitnesses(capacity, free, true) || findWitnesses(capacity, free, false) ||
+         findWitnesses(capacity, capacity, false);
 }
 
-bool GuaranteeBook::possible(const Capacities& room) const {
-  Capacities left = room;
+bool GuaranteeBook::canWitnessAll(const Capacities& capacity) const {
+  Capacities left = capacity;
   for (const std::size_t i : searchOrder()) {
     const Guarantee& guarantee = m_guarantees[i];
     if (guarantee.unused() == 0) continue;
--- a/Courseloom/src/Scheduling/GuaranteeBook.h
+++ b/Courseloom/src/Scheduling/GuaranteeBook.h
@@ -12,49 +12,52 @@
 namespace courseloom {
 
 /** \class Guarantee
- * \brief One workspace's right to a shape, what of it is in use, and the witness for the rest.
+ * \brief A shape that a workspace is entitled to, how much of it is in use, and the witness for the unused part.
  */
 struct Guarantee {
   std::string name;
   std::string workspace;
   schema::Shape shape;
-  unsigned used = 0;  ///< tasks of running gangs charged to it
-  Placement witness;  ///< named places for the unused tasks; empty and `witnessed` false if there are none
+  unsigned used = 0;  ///< number of tasks of gangs that are charged to the guarantee
+  Placement witness;  ///< places for the unused tasks; empty, with `witnessed` false, if none were found
   bool witnessed = false;
   std::string reason;  ///< why there is no witness
 
+  /** \returns the number of tasks that may still be charged. */
   unsigned unused() const { return shape.tasks() > used ? shape.tasks() - used : 0; }
+  /** \returns the shape with the unused tasks only. */
   schema::Shape unusedShape() const;
-  /** \returns whether a job's gang may be charged to it. */
+  /** \returns whether a job of a workspace, with the shape `job`, may be charged to the unused part. */
   bool holds(const std::string& ofWorkspace, const schema::Shape& job) const;
 };
 
 /** \class GuaranteeBook
- * \brief Keeps a witness for every unused guaranteed shape: places that are free or held by reclaimable gangs.
+ * \brief Keeps a witness for the unused part of every guarantee: places that are free or held by reclaimable gangs.
  *
- * Gangs outside a guarantee are all reclaimable, so only gangs charged to a guarantee and lost workers take room from
- * the witnesses. Tight adjacency and large shapes are witnessed first; a witness that still holds is kept.
+ * All gangs outside guarantees are reclaimable. Only gangs that are charged to a guarantee, tasks unknown to the
+ * scheduler and lost workers therefore reduce the capacity for witnesses. Witnesses for tight adjacency and large
+ * shapes are sought first. A witness that is still valid is kept if possible.
  */
 class GuaranteeBook {
  public:
   explicit GuaranteeBook(const Topology& topology) : m_topology(topology), m_search(topology) {}
 
-  /** Replaces the guarantees; use counts are set by the caller. */
+  /** Replaces the guarantees. The caller sets the use counts. */
   void setGuarantees(std::vector<Guarantee> guarantees);
-  /** Finds witnesses. \param room all live capacity less what charged gangs hold \param free capacity that nobody
-   * holds, preferred so that fewer gangs are hit \returns whether every guarantee has one */
-  bool rebuild(const Capacities& room, const Capacities& free);
-  /** \returns whether all guarantees could be witnessed within a room; changes nothing. */
-  bool possible(const Capacities& room) const;
+  /** Finds the witnesses again. \param capacity live capacity without what charged gangs hold \param free capacity that
+   * nobody holds; it is preferred, so that fewer gangs are reclaimed \returns whether every guarantee has a witness */
+  bool rebuild(const Capacities& capacity, const Capacities& free);
+  /** \returns whether a capacity has room for witnesses of all guarantees. Changes nothing. */
+  bool canWitnessAll(const Capacities& capacity) const;
   Guarantee* find(const std::string& name);
   std::vector<Guarantee>& guarantees() { return m_guarantees; }
   const std::vector<Guarantee>& guarantees() const { return m_guarantees; }
 
  private:
   std::vector<std::size_t> searchOrder() const;
-  bool keepWitness(Guarantee& guarantee, Capacities& room) const;
-  bool findWitness(Guarantee& guarantee, Capacities& room, const Capacities& preferred) const;
-  bool search(Capacities room, const Capacities& preferred, bool keepSound);
+  bool keepWitness(Guarantee& guarantee, Capacities& capacity) const;
+  bool findWitness(Guarantee& guarantee, Capacities& capacity, const Capacities& preferred) const;
+  bool findWitnesses(Capacities capacity, const Capacities& preferred, bool keepValid);
 
   const Topology& m_topology;
   PlacementSearch m_search;
--- a/Courseloom/src/Scheduling/Placement.cpp
+++ b/Courseloom/src/Scheduling/Placement.cpp
@@ -32,7 +32,7 @@
   return std::min(count, shape.tasks());
 }
 
-Capacity Capacity::take(const schema::Shape& shape) {
+Capacity Capacity::allocate(const schema::Shape& shape) {
   Capacity part{0, shape.cores(), static_cast<std::int64_t>(shape.memory_mb())};
   AcceleratorMask left = accelerators;
   for (unsigned i = 0; i < shape.accelerators(); ++i) {
@@ -48,28 +48,28 @@
   return (other.accelerators & ~accelerators) == 0 && other.cores <= cores && other.memoryMb <= memoryMb;
 }
 
-void subtractAll(Capacities& room, const Placement& placement) {
-  for (const TaskPlace& place : placement) room[place.worker].subtract(place.part);
+void subtractAll(Capacities& capacity, const Placement& placement) {
+  for (const TaskPlace& place : placement) capacity[place.worker].subtract(place.part);
 }
 
-void addAll(Capacities& room, const Placement& placement) {
-  for (const TaskPlace& place : placement) room[place.worker].add(place.part);
+void addAll(Capacities& capacity, const Placement& placement) {
+  for (const TaskPlace& place : placement) capacity[place.worker].add(place.part);
 }
 
-bool coversAll(Capacities room, const Placement& placement) {
+bool coversAll(Capacities capacity, const Placement& placement) {
   for (const TaskPlace& place : placement) {
-    if (!room[place.worker].covers(place.part)) return false;
-    room[place.worker].subtract(place.part);
+    if (!capacity[place.worker].covers(place.part)) return false;
+    capacity[place.worker].subtract(place.part);
   }
   return true;
 }
 
-void setAside(Capacities& room, const Placement& placement) {
+void setAside(Capacities& capacity, const Placement& placement) {
   for (const TaskPlace& place : placement) {
-    Capacity& there = room[place.worker];
-    there.accelerators &= ~place.part.accelerators;
-    there.cores = std::max<std::int64_t>(0, there.cores - place.part.cores);
-    there.memoryMb = std::max<std::int64_t>(0, there.memoryMb - place.part.memoryMb);
+    Capacity& remaining = capacity[place.worker];
+    remaining.accelerators &= ~place.part.accelerators;
+    remaining.cores = std::max<std::int64_t>(0, remaining.cores - place.part.cores);
+    remaining.memoryMb = std::max<std::int64_t>(0, remaining.memoryMb - place.part.memoryMb);
   }
 }
 
@@ -79,23 +79,23 @@
   m_index.clear();
   std::map<std::string, std::vector<WorkerIndex>> racks;
   std::map<std::string, std::vector<WorkerIndex>> halls;
-  std::vector<WorkerIndex> everything;
+  std::vector<WorkerIndex> allWorkers;
   for (WorkerIndex i = 0; i < m_workers.size(); ++i) {
     const schema::Worker& worker = m_workers[i];
     m_byWorker.push_back({i});
     racks[worker.data_hall() + "/" + worker.rack()].push_back(i);
     halls[worker.data_hall()].push_back(i);
-    everything.push_back(i);
+    allWorkers.push_back(i);
     m_index.emplace_back(worker.name(), i);
   }
-  const auto values = [](const auto& groups) {
+  const auto groupsOf = [](const auto& groups) {
     std::vector<std::vector<WorkerIndex>> list;
     for (const auto& [name, group] : groups) list.push_back(group);
     return list;
   };
-  m_byRack = values(racks);
-  m_byHall = values(halls);
-  m_all = {everything};
+  m_byRack = groupsOf(racks);
+  m_byHall = groupsOf(halls);
+  m_all = {allWorkers};
   std::sort(m_index.begin(), m_index.end());
 }
 
@@ -133,17 +133,17 @@
   const auto costOf = [&costs](WorkerIndex worker) { return costs.empty() ? 0.0 : costs[worker]; };
   Candidate best;
   for (const std::vector<WorkerIndex>& group : m_topology.groups(shape.adjacency())) {
-    unsigned room = 0;
+    unsigned fitting = 0;
     unsigned accelerators = 0;
     double cost = 0;
     for (const WorkerIndex worker : group) {
       const unsigned fits = available[worker].fits(shape);
       if (fits == 0) continue;
-      room += fits;
+      fitting += fits;
       accelerators += available[worker].acceleratorCount();
       cost += costOf(worker);
     }
-    if (room < shape.tasks()) continue;
+    if (fitting < shape.tasks()) continue;
     const Candidate candidate{cost, accelerators, &group};
     const bool better = best.group == nullptr || candidate.cost < best.cost ||
                         (candidate.cost == best.cost && candidate.leftOver < best.leftOver);
@@ -162,9 +162,9 @@
   });
   Placement placement;
   for (const WorkerIndex worker : order) {
-    Capacity room = available[worker];
-    for (unsigned fits = room.fits(shape); fits > 0 && placement.size() < shape.tasks(); --fits) {
-      placement.push_back({worker, room.take(shape)});
+    Capacity free = available[worker];
+    for (unsigned fits = free.fits(shape); fits > 0 && placement.size() < shape.tasks(); --fits) {
+      placement.push_back({worker, free.allocate(shape)});
     }
   }
   return placement;
@@ -174,10 +174,10 @@
   unsigned total = 0;
   unsigned largest = 0;
   for (const auto& rack : topology.groups(schema::SameRack)) {
-    unsigned here = 0;
-    for (const WorkerIndex worker : rack) here += free[worker].acceleratorCount();
-    total += here;
-    largest = std::max(largest, here);
+    unsigned rackTotal = 0;
+    for (const WorkerIndex worker : rack) rackTotal += free[worker].acceleratorCount();
+    total += rackTotal;
+    largest = std::max(largest, rackTotal);
   }
   return total == 0 ? 0.0 : 1.0 - static_cast<double>(largest) / total;
 }
--- a/Courseloom/src/Scheduling/Placement.h
+++ b/Courseloom/src/Scheduling/Placement.h
@@ -12,11 +12,13 @@
 
 namespace courseloom {
 
-using AcceleratorMask = std::uint64_t;  ///< bit i stands for accelerator i of a worker; at most 64 a worker
+/** Set of accelerators of one worker: bit i stands for accelerator i, so a worker has at most 64. */
+using AcceleratorMask = std::uint64_t;
+/** Position of a worker in Topology::workers(). */
 using WorkerIndex = std::uint32_t;
 
 /** \class Capacity
- * \brief What one worker has left, or what part of it something holds.
+ * \brief Resources of one worker: what is free on it, or the part that one task holds.
  */
 struct Capacity {
   AcceleratorMask accelerators = 0;
@@ -26,48 +28,52 @@
   void add(const Capacity& other);
   void subtract(const Capacity& other);
   unsigned acceleratorCount() const { return static_cast<unsigned>(__builtin_popcountll(accelerators)); }
-  /** \returns how many equal tasks fit in. */
+  /** \returns how many tasks of a shape fit in, at most the number that the shape has. */
   unsigned fits(const schema::Shape& shape) const;
-  /** Takes the lowest free accelerators, cores and memory of one task out. \returns what was taken */
-  Capacity take(const schema::Shape& shape);
-  /** \returns whether all of another capacity lies within this one. */
+  /** Allocates one task: subtracts its lowest free accelerators, cores and memory, which must be available. \returns
+   * the allocated part */
+  Capacity allocate(const schema::Shape& shape);
+  /** \returns whether this capacity contains all of another one. */
   bool covers(const Capacity& other) const;
+  /** \returns whether both contain a common accelerator. */
   bool intersects(const Capacity& other) const { return (accelerators & other.accelerators) != 0; }
 };
 
 /** \class TaskPlace
- * \brief Where one task of a gang goes.
+ * \brief Where one task of a gang is placed.
  */
 struct TaskPlace {
   WorkerIndex worker = 0;
   Capacity part;
 };
 
+/** Places of the tasks of one gang. */
 using Placement = std::vector<TaskPlace>;
+/** Capacity by WorkerIndex. */
 using Capacities = std::vector<Capacity>;
 
-/** Takes all places out of a room. */
-void subtractAll(Capacities& room, const Placement& placement);
-/** Gives all places back to a room. */
-void addAll(Capacities& room, const Placement& placement);
-/** \returns whether a room covers all places at once. */
-bool coversAll(Capacities room, const Placement& placement);
-/** Takes places out of a room of which a part may be held already; nothing falls below zero. */
-void setAside(Capacities& room, const Placement& placement);
+/** Subtracts all places of a placement. */
+void subtractAll(Capacities& capacity, const Placement& placement);
+/** Adds all places of a placement. */
+void addAll(Capacities& capacity, const Placement& placement);
+/** \returns whether the capacity covers all places of a placement together. */
+bool coversAll(Capacities capacity, const Placement& placement);
+/** Subtracts all places of a placement, parts of which may be held already: cores and memory do not fall below zero. */
+void setAside(Capacities& capacity, const Placement& placement);
 
 /** \class Topology
- * \brief The workers with their racks and data halls, and the groups within which tasks count as adjacent.
+ * \brief The workers with their racks and data halls, and the groups of workers that count as adjacent.
  */
 class Topology {
  public:
-  /** Takes a new inventory; indexes follow its order. */
+  /** Replaces the inventory. Worker indexes follow its order. */
   void setWorkers(std::vector<schema::Worker> workers);
   const std::vector<schema::Worker>& workers() const { return m_workers; }
-  /** \returns the index of a worker, or -1. */
+  /** \returns the index of a worker, or -1 if there is none of this name. */
   int find(const std::string& name) const;
-  /** \returns groups of workers, one of which must hold all tasks of a shape with that adjacency. */
+  /** \returns the groups of workers for an adjacency. One group must hold all tasks of a shape with that adjacency. */
   const std::vector<std::vector<WorkerIndex>>& groups(schema::Adjacency adjacency) const;
-  /** \returns everything that the workers have. */
+  /** \returns the total capacity of each worker. */
   Capacities total() const;
 
  private:
@@ -80,33 +86,35 @@
 };
 
 /** \class PlacementSearch
- * \brief Finds places for all tasks of a shape, or none.
+ * \brief Finds places for all tasks of a shape, or for none of them.
  *
- * Among the groups that can hold the whole shape it takes the one with the least cost, then the one that leaves the
- * fewest accelerators over (best fit, so that large holes stay whole). Within a group it fills workers in order of cost
- * and of free accelerators, fewest first. Cost of one search is linear in the number of workers.
+ * Among the groups that can hold the whole shape, the search chooses the one with the least cost and then the one with
+ * the fewest free accelerators (best fit, so that large free blocks are not split). Within a group it fills workers in
+ * order of cost and then of free accelerators, fewest first unless the caller asks for spreading. The time of a search
+ * is linear in the number of workers, apart from sorting those of the chosen group.
  */
 class PlacementSearch {
  public:
   explicit PlacementSearch(const Topology& topology) : m_topology(topology) {}
 
-  /** \param available what may be taken, by worker \param costs price of touching a worker; empty is free of cost
-   * \param bestFit fewest free accelerators first; otherwise most, which spreads \returns empty if it does not fit */
+  /** \param available capacity that may be used, by worker \param costs cost of using each worker; empty if all are
+   * zero \param bestFit whether workers with the fewest free accelerators are filled first; otherwise those with the
+   * most are, which spreads the tasks \returns one place per task, or an empty placement if the shape does not fit */
   Placement find(const schema::Shape& shape, const Capacities& available, const std::vector<double>& costs = {},
                  bool bestFit = true) const;
 
  private:
   struct Candidate {
     double cost = 0;
-    unsigned leftOver = 0;
+    unsigned leftOver = 0;  ///< free accelerators of the workers in the group on which a task fits
     const std::vector<WorkerIndex>* group = nullptr;
   };
 
   const Topology& m_topology;
 };
 
-/** \returns the share of free accelerators outside the largest rack-adjacent block; 0 is unbroken, 1 is all scattered.
- */
+/** \returns the share of free accelerators outside the rack that has the most of them: 0 if all are in one rack or none
+ * is free, close to 1 if they are scattered over many racks. */
 double fragmentationOf(const Topology& topology, const Capacities& free);
 
 }  // namespace courseloom
--- a/Courseloom/src/Scheduling/RunLedger.h
+++ b/Courseloom/src/Scheduling/RunLedger.h
@@ -98,9 +98,9 @@
  * \brief What one target currently offers to a plan.
  */
 struct TargetOffer {
-  std::string life;   ///< name of the target's incarnation
-  bool open = false;  ///< the target may be given new runs
-  Room room;          ///< total capacity, including what current runs use
+  std::string incarnation;  ///< name of the target's incarnation
+  bool open = false;        ///< the target may be given new runs
+  Room room;                ///< total capacity, including what current runs use
   bool operator==(const TargetOffer& other) const = default;
 };
 
--- a/Courseloom/src/Scheduling/Scheduler.cpp
+++ b/Courseloom/src/Scheduling/Scheduler.cpp
@@ -10,9 +10,9 @@
 namespace internal {
 namespace {
 
-constexpr double PackFromWeight = 0.25;  ///< weight of fragmentation from which workers are filled up first
-/** Waiting jobs for which a reservation is sought in one pass; one that can never fit must not cost the others theirs.
- */
+constexpr double PackFromWeight = 0.25;  ///< from this fragmentationWeight on, partly used workers are filled first
+/** Number of waiting jobs for which one call of decide() tries to find a reservation. It is more than one so that a job
+ * that can never fit does not deprive the others of a reservation. */
 constexpr int ReservationTries = 2;
 
 Guarantee make_guarantee(const schema::Object& object) {
@@ -33,25 +33,25 @@
          phase == schema::JobStopping;
 }
 
-// ---- what the caller tells
+// ---- input from the caller
 
 void Scheduler::setWorkers(std::vector<schema::Worker> workers) {
-  // Held places name workers by index; carry them over by name.
+  // Placements refer to workers by index. Convert the old indexes to the new ones by worker name.
   const std::vector<schema::Worker> before = m_topology.workers();
   m_topology.setWorkers(std::move(workers));
-  std::vector<int> moved(before.size());
-  for (std::size_t i = 0; i < before.size(); ++i) moved[i] = m_topology.find(before[i].name());
-  const auto carry = [&moved](Placement& placement) {
+  std::vector<int> newIndex(before.size());
+  for (std::size_t i = 0; i < before.size(); ++i) newIndex[i] = m_topology.find(before[i].name());
+  const auto remap = [&newIndex](Placement& placement) {
     const std::size_t size = placement.size();
-    std::erase_if(placement, [&](const TaskPlace& place) { return moved[place.worker] < 0; });
-    for (TaskPlace& place : placement) place.worker = static_cast<WorkerIndex>(moved[place.worker]);
+    std::erase_if(placement, [&](const TaskPlace& place) { return newIndex[place.worker] < 0; });
+    for (TaskPlace& place : placement) place.worker = static_cast<WorkerIndex>(newIndex[place.worker]);
     return placement.size() == size;
   };
-  for (auto& [id, job] : m_jobs) job.broken = !carry(job.held) || job.broken;
+  for (auto& [id, job] : m_jobs) job.broken = !remap(job.held) || job.broken;
   for (Guarantee& guarantee : m_book.guarantees())
-    guarantee.witnessed = carry(guarantee.witness) && guarantee.witnessed;
+    guarantee.witnessed = remap(guarantee.witness) && guarantee.witnessed;
   for (auto nomination = m_nominations.begin(); nomination != m_nominations.end();) {
-    nomination = carry(nomination->second.placement) ? std::next(nomination) : m_nominations.erase(nomination);
+    nomination = remap(nomination->second.placement) ? std::next(nomination) : m_nominations.erase(nomination);
   }
   m_reservation.reset();
 }
@@ -74,8 +74,8 @@
 }
 
 void Scheduler::setHeld(std::set<std::string> workspaces, std::set<std::string> services) {
-  m_heldWorkspaces = std::move(workspaces);
-  m_heldServices = std::move(services);
+  m_blockedWorkspaces = std::move(workspaces);
+  m_blockedServices = std::move(services);
 }
 
 void Scheduler::updateJob(const schema::Job& job) {
@@ -134,21 +134,21 @@
   }
   m_grantable = m_free;
   for (const auto& [id, nomination] : m_nominations) {
-    // Places that are still held are not in the free part; only what is free already is set aside.
+    // A nominated place that is still held is not part of the free capacity. Only what is already free is set aside.
     setAside(m_grantable, nomination.placement);
   }
 }
 
-Capacities Scheduler::roomForWitnesses() const {
-  Capacities room = m_topology.total();
+Capacities Scheduler::witnessCapacity() const {
+  Capacities capacity = m_topology.total();
   for (const auto& [name, used] : m_foreign) {
     const int worker = m_topology.find(name);
-    if (worker >= 0) room[static_cast<std::size_t>(worker)].subtract(used);
+    if (worker >= 0) capacity[static_cast<std::size_t>(worker)].subtract(used);
   }
   for (const auto& [id, job] : m_jobs) {
-    if (!job.guarantee.empty()) subtractAll(room, job.held);
+    if (!job.guarantee.empty()) subtractAll(capacity, job.held);
   }
-  return room;
+  return capacity;
 }
 
 bool Scheduler::reclaimable(const JobEntry& job) const {
@@ -158,7 +158,7 @@
 std::uint64_t Scheduler::expectedEnd(const JobEntry& job, std::uint64_t nowMs) const {
   const std::uint64_t run = job.spec.expected_ms() > 0 ? job.spec.expected_ms() : m_options.assumedRunMs;
   const std::uint64_t started = job.startedMs > 0 ? job.startedMs : nowMs;
-  // A job that outlives its estimate is taken to end soon.
+  // A job that exceeds its estimate is assumed to end within a second.
   return std::max(started + run, nowMs + 1000);
 }
 
@@ -189,9 +189,9 @@
 bool Scheduler::mayStart(JobEntry& job) const {
   if (job.paused) {
     job.why = "the job is paused";
-  } else if (m_heldWorkspaces.count(job.spec.workspace()) > 0) {
+  } else if (m_blockedWorkspaces.count(job.spec.workspace()) > 0) {
     job.why = "workspace '" + job.spec.workspace() + "' is paused or draining";
-  } else if (m_heldServices.count(job.spec.service()) > 0) {
+  } else if (m_blockedServices.count(job.spec.service()) > 0) {
     job.why = "service '" + job.spec.service() + "' is paused or draining";
   } else {
     return true;
@@ -212,8 +212,8 @@
   m_nowMs = nowMs;
   std::vector<Decision> decisions;
   recount();
-  m_witnessRoom = roomForWitnesses();
-  m_book.rebuild(m_witnessRoom, m_free);
+  m_witnessCapacity = witnessCapacity();
+  m_book.rebuild(m_witnessCapacity, m_free);
   m_reservation.reset();
   std::set<std::string> failedShapes;
   int reservationTries = 0;
@@ -228,7 +228,7 @@
       continue;
     }
     if (placeInGuarantee(*job, decisions)) continue;
-    // Once a shape has found no room outside guarantees, equal ones of no higher rank need not search again.
+    // If a shape could not be placed outside guarantees, equal shapes of the same urgency are not tried in this call.
     const std::string key = job->spec.shape().SerializeAsString() + std::to_string(job->spec.urgency());
     if (failedShapes.count(key) > 0) {
       job->why = "no room for its shape; an equal job waits before it";
@@ -255,29 +255,29 @@
   m_nominations.erase(job.id);
   if (Guarantee* charged = m_book.find(guarantee)) charged->used += static_cast<unsigned>(placement.size());
   if (!guarantee.empty()) {
-    // Only gangs inside guarantees take room from the witnesses.
-    subtractAll(m_witnessRoom, placement);
-    if (m_options.witness) m_book.rebuild(m_witnessRoom, m_free);
+    // Only gangs inside guarantees reduce the capacity for witnesses.
+    subtractAll(m_witnessCapacity, placement);
+    if (m_options.witness) m_book.rebuild(m_witnessCapacity, m_free);
   }
   decisions.push_back({DecisionKind::Place, job.id, guarantee, std::move(placement), ""});
 }
 
 bool Scheduler::witnessesSurvive(const std::string& guarantee, unsigned tasks, const Placement& placement) {
-  // A gang outside guarantees is reclaimable and takes nothing from a witness.
+  // A gang outside guarantees is reclaimable, so it does not reduce the capacity for witnesses.
   if (!m_options.witness || guarantee.empty()) return true;
-  Capacities room = m_witnessRoom;
-  subtractAll(room, placement);
+  Capacities capacity = m_witnessCapacity;
+  subtractAll(capacity, placement);
   Guarantee* charged = m_book.find(guarantee);
   charged->used += tasks;
-  const bool survive = m_book.possible(room);
+  const bool survive = m_book.canWitnessAll(capacity);
   charged->used -= tasks;
   return survive;
 }
 
 Placement Scheduler::witnessPlacement(const JobEntry& job, const Guarantee& guarantee) const {
-  Capacities own(m_topology.workers().size());
-  for (const TaskPlace& place : guarantee.witness) own[place.worker].add(place.part);
-  return m_search.find(job.spec.shape(), own);
+  Capacities witnessed(m_topology.workers().size());
+  for (const TaskPlace& place : guarantee.witness) witnessed[place.worker].add(place.part);
+  return m_search.find(job.spec.shape(), witnessed);
 }
 
 bool Scheduler::placeInGuarantee(JobEntry& job, std::vector<Decision>& decisions) {
@@ -285,50 +285,51 @@
   if (guarantee == nullptr) return false;
   const auto tasks = static_cast<unsigned>(job.spec.shape().tasks());
   const bool pack = m_options.fragmentationWeight >= internal::PackFromWeight;
-  Placement now = m_search.find(job.spec.shape(), m_grantable, {}, pack);
-  if (!now.empty() && witnessesSurvive(guarantee->name, tasks, now)) {
-    accept(job, guarantee->name, std::move(now), decisions);
+  Placement available = m_search.find(job.spec.shape(), m_grantable, {}, pack);
+  if (!available.empty() && witnessesSurvive(guarantee->name, tasks, available)) {
+    accept(job, guarantee->name, std::move(available), decisions);
     return true;
   }
-  Placement own = witnessPlacement(job, *guarantee);
-  if (own.empty()) return false;
-  if (coversAll(m_grantable, own)) {
-    accept(job, guarantee->name, std::move(own), decisions);
+  Placement witness = witnessPlacement(job, *guarantee);
+  if (witness.empty()) return false;
+  if (coversAll(m_grantable, witness)) {
+    accept(job, guarantee->name, std::move(witness), decisions);
     return true;
   }
   if (!m_options.reclaim) return false;
-  // The cheapest gangs to stop, if the other guarantees survive that; else the places of the own witness.
-  Placement cheap = m_search.find(job.spec.shape(), reclaimableRoom(false), reclaimCosts(m_nowMs), pack);
-  const bool sound = !cheap.empty() && witnessesSurvive(guarantee->name, tasks, cheap);
-  return reclaimFor(job, guarantee->name, sound ? cheap : own, decisions);
+  // Reclaim where it costs least if all guarantees keep a witness then; otherwise reclaim the places of the own
+  // witness.
+  Placement cheapest = m_search.find(job.spec.shape(), reclaimableCapacity(false), reclaimCosts(m_nowMs), pack);
+  const bool valid = !cheapest.empty() && witnessesSurvive(guarantee->name, tasks, cheapest);
+  return reclaimFor(job, guarantee->name, valid ? cheapest : witness, decisions);
 }
 
 bool Scheduler::placeOutside(JobEntry& job, std::uint64_t nowMs, std::vector<Decision>& decisions) {
-  const bool mustBeInside = job.spec.not_repeatable() && !job.spec.checkpointable();
-  if (mustBeInside && m_options.witness) {
+  const bool needsGuarantee = job.spec.not_repeatable() && !job.spec.checkpointable();
+  if (needsGuarantee && m_options.witness) {
     job.why =
         "it can be neither checkpointed nor repeated, so it runs only inside its workspace's guarantee, which is in "
         "use";
     return true;
   }
   const bool pack = m_options.fragmentationWeight >= internal::PackFromWeight;
-  Capacities room = m_grantable;
+  Capacities capacity = m_grantable;
   if (m_reservation && expectedEnd(job, nowMs) > m_reservation->atMs) {
-    setAside(room, m_reservation->placement);
+    setAside(capacity, m_reservation->placement);
   }
   schema::Shape shape = job.spec.shape();
-  Placement placement = m_search.find(shape, room, {}, pack);
+  Placement placement = m_search.find(shape, capacity, {}, pack);
   if (placement.empty() && !m_options.wholeGangs && shape.tasks() > 1) {
     shape.set_tasks(1);
-    placement = m_search.find(shape, room, {}, pack);
+    placement = m_search.find(shape, capacity, {}, pack);
   }
   if (!placement.empty()) {
     accept(job, "", std::move(placement), decisions);
     return true;
   }
   if (m_options.reclaim && job.spec.urgency() == schema::Urgent) {
-    Placement cheap = m_search.find(job.spec.shape(), reclaimableRoom(true), reclaimCosts(nowMs), pack);
-    if (!cheap.empty() && reclaimFor(job, "", cheap, decisions)) return true;
+    Placement cheapest = m_search.find(job.spec.shape(), reclaimableCapacity(true), reclaimCosts(nowMs), pack);
+    if (!cheapest.empty() && reclaimFor(job, "", cheapest, decisions)) return true;
   }
   job.why = "no " + std::to_string(shape.tasks()) + " places of " + std::to_string(shape.accelerators()) +
             " adjacent accelerators are free";
@@ -348,26 +349,26 @@
 
 std::optional<std::string> Scheduler::refusesGuarantees(const std::vector<schema::Object>& guarantees) const {
   GuaranteeBook trial(m_topology);
-  std::vector<Guarantee> wanted;
+  std::vector<Guarantee> required;
   for (const schema::Object& object : guarantees) {
-    if (object.guarantee().has_shape()) wanted.push_back(internal::make_guarantee(object));
+    if (object.guarantee().has_shape()) required.push_back(internal::make_guarantee(object));
   }
-  trial.setGuarantees(wanted);
-  if (trial.possible(m_topology.total())) return std::nullopt;
+  trial.setGuarantees(required);
+  if (trial.canWitnessAll(m_topology.total())) return std::nullopt;
   trial.rebuild(m_topology.total(), m_topology.total());
   for (const Guarantee& guarantee : trial.guarantees()) {
     if (guarantee.witnessed) continue;
-    // The nearest that can be held: fewer tasks of the same kind.
+    // The nearest guarantee that can be held: the same shape with fewer tasks.
     schema::Shape nearest = guarantee.shape;
     unsigned tasks = nearest.tasks();
     for (; tasks > 0; --tasks) {
-      std::vector<Guarantee> smaller = wanted;
+      std::vector<Guarantee> smaller = required;
       for (Guarantee& candidate : smaller) {
         if (candidate.name == guarantee.name) candidate.shape.set_tasks(tasks);
       }
       GuaranteeBook attempt(m_topology);
       attempt.setGuarantees(smaller);
-      if (attempt.possible(m_topology.total())) break;
+      if (attempt.canWitnessAll(m_topology.total())) break;
     }
     return "guarantee '" + guarantee.name + "' cannot be held beside the others; the nearest that can has " +
            std::to_string(tasks) + " tasks";
--- a/Courseloom/src/Scheduling/Scheduler.h
+++ b/Courseloom/src/Scheduling/Scheduler.h
@@ -16,40 +16,44 @@
 namespace courseloom {
 
 /** \class SchedulerOptions
- * \brief The policy, and switches with which proofs and benches turn one mechanism off; all on in production.
+ * \brief The scheduling policy, and switches with which proofs and benchmarks turn off single mechanisms.
+ *
+ * All switches are on in production.
  */
 struct SchedulerOptions {
-  double fragmentationWeight = 0.3;          ///< 0 spreads for completion time, 1 packs for adjacency
-  std::uint64_t agingMs = 3600 * 1000;       ///< wait after which low urgency counts as normal
-  std::uint64_t assumedRunMs = 3600 * 1000;  ///< run time taken for a job that names none
+  double fragmentationWeight = 0.3;          ///< 0 spreads gangs for completion time, 1 packs them for adjacency
+  std::uint64_t agingMs = 3600 * 1000;       ///< waiting time after which low urgency counts as normal
+  std::uint64_t assumedRunMs = 3600 * 1000;  ///< run time assumed for a job that gives no estimate
   bool witness = true;                       ///< guarantees are kept reclaimable
-  bool wholeGangs = true;                    ///< a gang is placed whole or not at all
-  bool reclaim = true;                       ///< gangs outside guarantees make room for owners and urgent work
-  bool reservation = true;                   ///< the oldest large gang keeps a reservation that backfill respects
-  bool urgentFirst = true;                   ///< guaranteed and urgent work goes before other work
+  bool wholeGangs = true;                    ///< a gang is placed completely or not at all
+  bool reclaim = true;      ///< gangs outside guarantees are stopped for guarantee owners and urgent work
+  bool reservation = true;  ///< the first gang that has to wait gets a reservation, which backfill respects
+  bool urgentFirst = true;  ///< guaranteed and urgent work is placed before other work
 };
 
+/** What the caller has to do: start a gang, or checkpoint and stop one. */
 enum class DecisionKind : std::uint8_t { Place, Reclaim };
 
 /** \class Decision
- * \brief One thing to do: start a gang on named accelerators, or checkpoint and stop one.
+ * \brief One action for the caller: start a gang on named accelerators, or checkpoint and stop a gang.
  */
 struct Decision {
   DecisionKind kind = DecisionKind::Place;
   std::string job;
-  std::string guarantee;  ///< guarantee that a placed gang is charged to; empty is none
-  Placement placement;    ///< one place a task, for Place
-  std::string forJob;     ///< job that the room is for, for Reclaim
+  std::string guarantee;  ///< guarantee that a placed gang is charged to; empty if there is none
+  Placement placement;    ///< for Place: one place per task
+  std::string forJob;     ///< for Reclaim: job that will use the reclaimed capacity
 };
 
 /** \class Scheduler
- * \brief Decides which gang runs where, what is reclaimed for whom, and keeps every guarantee reclaimable.
+ * \brief Decides which gang runs where and which gangs are reclaimed, and keeps every guarantee reclaimable.
  *
- * No clock, input or output: the caller tells of workers, guarantees and jobs, and performs the decisions. The rules:
- * a gang is placed whole; after each placement every unused guarantee has a witness; a gang that can be neither
- * checkpointed nor repeated runs only inside its own workspace's guarantee; gangs outside guarantees are reclaimable.
- * Backfill follows EASY (Lifka, "The ANL/IBM SP scheduling system", 1995): one reservation, for the first job that has
- * to wait, and later jobs may start only if they do not delay it by their expected run times.
+ * The class uses no clock and performs no input or output. The caller supplies workers, guarantees and jobs, and
+ * carries out the decisions. The scheduler keeps these rules. A gang is placed completely. After each placement every
+ * unused guarantee has a witness. A gang that can be neither checkpointed nor repeated runs only inside its own
+ * workspace's guarantee. Gangs outside guarantees are reclaimable. Backfill follows EASY (Lifka, "The ANL/IBM SP
+ * scheduling system", 1995): the first job that has to wait gets the only reservation, and later jobs may start only if
+ * they do not delay it according to their expected run times.
  * \sa GuaranteeBook, PlacementSearch
  */
 class Scheduler {
@@ -58,32 +62,33 @@
   Scheduler(const Scheduler&) = delete;
   Scheduler& operator=(const Scheduler&) = delete;
 
-  /** Takes a new inventory of live workers. Gangs with a task on a lost worker are given by brokenJobs(). */
+  /** Replaces the inventory of live workers. Afterwards brokenJobs() returns the gangs with a task on a lost worker. */
   void setWorkers(std::vector<schema::Worker> workers);
-  /** Accelerators that unknown tasks use; they are nobody's to give. */
+  /** Replaces the capacity, by worker name, that tasks unknown to the scheduler use. It cannot be allocated. */
   void setForeign(const std::map<std::string, Capacity>& foreign);
   /** Replaces the guarantees by those of the configuration. */
   void setGuarantees(const std::vector<schema::Object>& guarantees);
-  /** Workspaces and services in which nothing new may start. */
+  /** Sets the workspaces and services that are paused or draining, in which no job may start. */
   void setHeld(std::set<std::string> workspaces, std::set<std::string> services);
-  /** Takes a job's newest state in; an ended one is forgotten. */
+  /** Applies the newest state of a job. Removes the job if it has ended. */
   void updateJob(const schema::Job& job);
 
-  /** Decides. \param nowMs wall clock, for ages and expected ends */
+  /** Makes all decisions that are possible now. \param nowMs wall clock, ms since 1970, for waiting times and expected
+   * ends */
   std::vector<Decision> decide(std::uint64_t nowMs);
 
-  /** \returns jobs that hold leases on workers that are gone. */
+  /** \returns jobs that hold leases on workers that are no longer in the inventory. */
   std::vector<std::string> brokenJobs() const;
-  /** \returns why a job waits, in a sentence. */
+  /** \returns the reason why a job waits, in words. */
   std::string why(const std::string& job) const;
-  /** \returns whether a new set of guarantees could all be witnessed now, with the reason if not. */
+  /** \returns nothing if all of a new set of guarantees could be held by the empty cluster, or the reason if not. */
   std::optional<std::string> refusesGuarantees(const std::vector<schema::Object>& guarantees) const;
-  /** \returns whether a shape could be held by the empty cluster. */
+  /** \returns whether the empty cluster could hold a shape. */
   bool everFits(const schema::Shape& shape) const;
   std::vector<schema::GuaranteeStatus> guaranteeStatus() const;
   const GuaranteeBook& guarantees() const { return m_book; }
   const Topology& topology() const { return m_topology; }
-  /** \returns what nobody holds. */
+  /** \returns the capacity of each worker that no job and no unknown task holds. */
   const Capacities& free() const { return m_free; }
   double fragmentation() const { return fragmentationOf(m_topology, m_free); }
 
@@ -103,7 +108,7 @@
 
   static bool holdsLeases(schema::JobPhase phase);
   void recount();
-  Capacities roomForWitnesses() const;
+  Capacities witnessCapacity() const;
   std::vector<JobEntry*> queueInOrder(std::uint64_t nowMs);
   int rankOf(const JobEntry& job, std::uint64_t nowMs) const;
   bool mayStart(JobEntry& job) const;
@@ -121,7 +126,7 @@
   std::vector<JobEntry*> victimsOn(const Placement& placement, schema::Urgency forUrgency, bool forOwner);
   const std::vector<double>& reclaimCosts(std::uint64_t nowMs);
   bool reclaimable(const JobEntry& job) const;
-  Capacities reclaimableRoom(bool lowOnly) const;
+  Capacities reclaimableCapacity(bool lowOnly) const;
   void reserveFor(const JobEntry& job, std::uint64_t nowMs);
   std::uint64_t expectedEnd(const JobEntry& job, std::uint64_t nowMs) const;
 
@@ -130,18 +135,18 @@
   PlacementSearch m_search;
   GuaranteeBook m_book;
   std::map<std::string, Capacity> m_foreign;
-  std::set<std::string> m_heldWorkspaces;
-  std::set<std::string> m_heldServices;
+  std::set<std::string> m_blockedWorkspaces;
+  std::set<std::string> m_blockedServices;
   std::map<std::string, JobEntry> m_jobs;
   struct Nomination {
     std::string guarantee;
     Placement placement;
   };
-  std::map<std::string, Nomination> m_nominations;  ///< places being reclaimed for a waiting job
-  Capacities m_free;                                ///< held by nobody
-  std::vector<double> m_costs;                      ///< of reclaim, by worker; empty until a pass needs them
-  Capacities m_witnessRoom;                         ///< all live capacity less what gangs inside guarantees hold
-  Capacities m_grantable;                           ///< free and not nominated for another job
+  std::map<std::string, Nomination> m_nominations;  ///< by waiting job: places that are being reclaimed for it
+  Capacities m_free;                                ///< live capacity that no job and no unknown task holds
+  std::vector<double> m_costs;   ///< cost of reclaim, by worker; empty until a call of decide() needs it
+  Capacities m_witnessCapacity;  ///< live capacity without what gangs inside guarantees or unknown tasks hold
+  Capacities m_grantable;        ///< free capacity without nominated places
   struct Reservation {
     std::string job;
     std::uint64_t atMs = 0;
--- a/Courseloom/src/Scheduling/SchedulerReclaim.cpp
+++ b/Courseloom/src/Scheduling/SchedulerReclaim.cpp
@@ -1,7 +1,8 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// The part of Scheduler that makes room: reclaim for owners and urgent work, and the reservation for the oldest gang.
+// The part of Scheduler that frees capacity: reclaim for guarantee owners and urgent work, and the reservation for the
+// first gang that has to wait.
 
 #include <algorithm>
 
@@ -11,40 +12,40 @@
 
 namespace internal {
 namespace {
-constexpr double UrgencyCost = 1000.0;  ///< price of touching normal rather than low urgency work
+constexpr double UrgencyCost = 1000.0;  ///< added for each task of a gang whose urgency is not low
 }  // namespace
 }  // namespace internal
 
 // ---- reclaim
 
-Capacities Scheduler::reclaimableRoom(bool lowOnly) const {
-  Capacities room = m_grantable;
+Capacities Scheduler::reclaimableCapacity(bool lowOnly) const {
+  Capacities capacity = m_grantable;
   for (const auto& [id, job] : m_jobs) {
     if (!reclaimable(job) || (lowOnly && job.spec.urgency() != schema::Low)) continue;
-    addAll(room, job.held);
+    addAll(capacity, job.held);
   }
-  // Nominated places are spoken for even while somebody still holds them.
+  // Nominated places are assigned already, even while another gang still holds them.
   for (const auto& [id, nomination] : m_nominations) {
     for (const TaskPlace& place : nomination.placement) {
-      Capacity& there = room[place.worker];
-      there.accelerators &= ~place.part.accelerators;
+      Capacity& remaining = capacity[place.worker];
+      remaining.accelerators &= ~place.part.accelerators;
     }
   }
-  return room;
+  return capacity;
 }
 
-/** Price of touching each worker; counted once a pass, on the first reclaim. */
+/** \returns the cost of reclaiming, by worker. It is computed at most once per call of decide(), when first needed. */
 const std::vector<double>& Scheduler::reclaimCosts(std::uint64_t nowMs) {
   if (!m_costs.empty()) return m_costs;
   std::vector<double>& costs = m_costs;
   costs.assign(m_topology.workers().size(), 0.0);
   for (const auto& [id, job] : m_jobs) {
     if (!reclaimable(job)) continue;
-    // Work lost is small where a checkpoint keeps it; every member of a gang is hit with it.
+    // A checkpoint preserves nearly all work. The cost counts on each worker, since the whole gang is stopped.
     const double ranSeconds = nowMs > job.startedMs ? static_cast<double>(nowMs - job.startedMs) / 1000.0 : 0.0;
-    const double lost = job.spec.checkpointable() ? 1.0 : 1.0 + ranSeconds;
+    const double lostWork = job.spec.checkpointable() ? 1.0 : 1.0 + ranSeconds;
     const double urgency = job.spec.urgency() == schema::Low ? 0.0 : internal::UrgencyCost;
-    for (const TaskPlace& place : job.held) costs[place.worker] += lost + urgency;
+    for (const TaskPlace& place : job.held) costs[place.worker] += lostWork + urgency;
   }
   return costs;
 }
@@ -53,21 +54,21 @@
                                                        bool forOwner) {
   std::vector<JobEntry*> victims;
   Capacities free = m_free;
-  std::map<WorkerIndex, Capacity> wanted;
-  for (const TaskPlace& place : placement) wanted[place.worker].add(place.part);
+  std::map<WorkerIndex, Capacity> required;
+  for (const TaskPlace& place : placement) required[place.worker].add(place.part);
   for (auto& [id, job] : m_jobs) {
     const bool allowed =
         reclaimable(job) && (forOwner || (forUrgency == schema::Urgent && job.spec.urgency() == schema::Low));
     if (!allowed) continue;
-    bool hit = false;
+    bool overlaps = false;
     for (const TaskPlace& place : job.held) {
-      const auto want = wanted.find(place.worker);
-      if (want == wanted.end()) continue;
-      const Capacity& there = free[place.worker];
-      const bool shortOfCores = there.cores < want->second.cores || there.memoryMb < want->second.memoryMb;
-      hit = hit || want->second.intersects(place.part) || shortOfCores;
+      const auto demand = required.find(place.worker);
+      if (demand == required.end()) continue;
+      const Capacity& remaining = free[place.worker];
+      const bool insufficient = remaining.cores < demand->second.cores || remaining.memoryMb < demand->second.memoryMb;
+      overlaps = overlaps || demand->second.intersects(place.part) || insufficient;
     }
-    if (!hit) continue;
+    if (!overlaps) continue;
     addAll(free, job.held);
     victims.push_back(&job);
   }
@@ -100,7 +101,7 @@
 bool Scheduler::placeNominated(JobEntry& job, std::vector<Decision>& decisions) {
   const Nomination nomination = m_nominations.at(job.id);
   if (!coversAll(m_free, nomination.placement)) {
-    // Somebody still holds a place: its stop is under way, or it has come back and is reclaimed again.
+    // A gang still holds a place. Either its stop is in progress, or it was started again and is reclaimed again.
     for (JobEntry* victim : victimsOn(nomination.placement, job.spec.urgency(), !nomination.guarantee.empty())) {
       victim->phase = schema::JobStopping;
       decisions.push_back({DecisionKind::Reclaim, victim->id, "", {}, job.id});
@@ -111,14 +112,14 @@
   const bool shapeFits = nomination.placement.size() == job.spec.shape().tasks();
   const bool chargeFits = nomination.guarantee.empty() ||
                           (guarantee != nullptr && guarantee->holds(job.spec.workspace(), job.spec.shape()));
-  const bool sound =
+  const bool valid =
       shapeFits && chargeFits && witnessesSurvive(nomination.guarantee, job.spec.shape().tasks(), nomination.placement);
-  if (!sound) {
+  if (!valid) {
     m_nominations.erase(job.id);
     job.why = "its nominated places no longer suit; looking again";
     return false;
   }
-  // accept() takes the room out of the grantable part, from which the nomination had taken it already.
+  // The nomination has already removed the places from m_grantable. Add them back, because accept() subtracts them.
   addAll(m_grantable, nomination.placement);
   accept(job, nomination.guarantee, nomination.placement, decisions);
   return true;
@@ -132,16 +133,16 @@
     if (!running.held.empty()) ends.emplace_back(expectedEnd(running, nowMs), &running);
   }
   std::sort(ends.begin(), ends.end());
-  Capacities room = m_grantable;
+  Capacities capacity = m_grantable;
   std::size_t next = 0;
-  // Steps double, so that the search stays linear in the number of running jobs times its logarithm.
+  // The number of jobs per step doubles, so the number of searches is logarithmic in the number of running jobs.
   for (std::size_t step = 1; next < ends.size(); step *= 2) {
     std::uint64_t at = nowMs;
     for (std::size_t i = 0; i < step && next < ends.size(); ++i, ++next) {
-      addAll(room, ends[next].second->held);
+      addAll(capacity, ends[next].second->held);
       at = ends[next].first;
     }
-    Placement placement = m_search.find(job.spec.shape(), room);
+    Placement placement = m_search.find(job.spec.shape(), capacity);
     if (placement.empty()) continue;
     m_reservation = Reservation{job.id, at, std::move(placement)};
     return;
