--- a/Courseloom/src/Core/Assert.h
+++ b/Courseloom/src/Core/Assert.h
@@ -6,7 +6,8 @@
 #include <cstdio>
 #include <cstdlib>
 
-/** Checks a precondition or invariant in every build; a broken one ends the process rather than go on wrongly. */
+/** Checks a precondition or invariant in every build. If it does not hold, the process is aborted, so that it does not
+ * continue in a wrong state. */
 #define courseloom_assert(condition)                                                                 \
   do {                                                                                               \
     if (!(condition)) {                                                                              \
--- a/Courseloom/src/Core/Clock.h
+++ b/Courseloom/src/Core/Clock.h
@@ -9,7 +9,8 @@
 namespace courseloom {
 
 /** \class BootClock
- * \brief Monotonic clock that also runs while the machine is suspended, so that a lease cannot outlive a suspension.
+ * \brief Monotonic clock that also advances while the machine is suspended, so that a lease expires during a
+ * suspension.
  */
 struct BootClock {
   using duration = std::chrono::microseconds;
@@ -23,10 +24,12 @@
 using Duration = BootClock::duration;
 using Time = BootClock::time_point;
 
+/** \returns a duration of whole milliseconds. */
 inline constexpr Duration milliseconds(std::int64_t count) { return std::chrono::milliseconds(count); }
+/** \returns a duration in milliseconds, with fractions. */
 inline double toMilliseconds(Duration duration) { return static_cast<double>(duration.count()) / 1000.0; }
 
-/** \returns wall-clock milliseconds since 1970, for records that people read; never used for leases. */
+/** \returns the wall-clock time in ms since 1970. For records that people read, never for leases. */
 std::uint64_t wallClockMs();
 
 }  // namespace courseloom
--- a/Courseloom/src/Core/Counted.h
+++ b/Courseloom/src/Core/Counted.h
@@ -9,7 +9,9 @@
 namespace courseloom {
 
 /** \class Counted
- * \brief Counts one thing in flight for as long as it lives.
+ * \brief Adds one to a counter at construction and subtracts it at destruction, to count work in flight.
+ *
+ * The counter must exist longer than this object.
  */
 template <class Number>
 class Counted {
--- a/Courseloom/src/Core/Failure.cpp
+++ b/Courseloom/src/Core/Failure.cpp
@@ -57,6 +57,7 @@
     CodeRow{FailureCode::PlatformFailed, "platform-failed", 502},
 };
 
+/** \returns the row of a code; the rows stand in the order of the enumerators. */
 const CodeRow& row(FailureCode code) { return CodeRows.at(static_cast<std::size_t>(code)); }
 
 }  // namespace
--- a/Courseloom/src/Core/Failure.h
+++ b/Courseloom/src/Core/Failure.h
@@ -14,10 +14,10 @@
 
 namespace courseloom {
 
-/** Whether the work in question was done, as far as can truthfully be said. */
+/** Whether the requested work was executed. Unknown if that cannot be determined. */
 enum class Ran : std::uint8_t { Unknown = schema::RanUnknown, No = schema::RanNo, Yes = schema::RanYes };
 
-/** Stable codes of failures, as callers and operators see them; docs/OPERATORS.md lists them. */
+/** Stable failure codes that callers and operators see. docs/OPERATORS.md lists them. */
 enum class FailureCode : std::uint8_t {
   Internal,
   BadRequest,
@@ -59,38 +59,42 @@
 };
 
 /** \class Failure
- * \brief A typed error: what failed, at which step, with which peer, and whether the work ran.
+ * \brief A typed error: what failed, at which step, with which peer, and whether the requested work was executed.
  * \sa Result, fail
  */
 struct Failure {
   FailureCode code = FailureCode::Internal;
   Ran ran = Ran::No;
-  std::string step;                ///< step at which it arose, such as "claim" or "connect"
-  std::string peer;                ///< process, address or file concerned
-  std::string detail;              ///< one sentence for a person
-  std::uint32_t retryAfterMs = 0;  ///< when coming back helps; 0 is never or at will
+  std::string step;                ///< step that failed, such as "claim" or "connect"
+  std::string peer;                ///< process, address or file that the step dealt with; may be empty
+  std::string detail;              ///< readable explanation, one sentence
+  std::uint32_t retryAfterMs = 0;  ///< time after which a retry may succeed; 0 if none can be given
 
-  /** \returns code, step, peer and detail in one line. */
+  /** \returns code, step, peer and detail in one line; empty parts are left out. */
   std::string text() const;
 };
 
 /** \returns the stable name of a code, such as "unknown-service". */
 const char* codeName(FailureCode code);
-/** \returns the HTTP status that goes with a code. */
+/** \returns the HTTP status of responses with this code. */
 unsigned codeStatus(FailureCode code);
-/** \returns "no", "yes" or "unknown". */
+/** \returns the name in responses and logs: "no", "yes" or "unknown". */
 const char* ranName(Ran ran);
 
+/** Converts a failure to the message that is sent and stored. */
 schema::FailureInfo toInfo(const Failure& failure);
+/** Converts a received message to a failure; an unknown code becomes FailureCode::Internal. */
 Failure fromInfo(const schema::FailureInfo& info);
 
-/** A value or a Failure. The failure travels inside the result, so it may cross threads and suspended coroutines. */
+/** A value or a Failure. The result itself holds the failure, so it can be passed between threads and kept across
+ * suspensions of a coroutine. */
 template <class T>
 using Result = boost::leaf::result<T>;
 
 namespace internal {
+/** \returns a new context in which a result captures its Failure. */
 boost::leaf::context_ptr make_failure_context();
-}
+}  // namespace internal
 
 /** \class Failed
  * \brief Converts to any Result<T> that holds the given failure.
@@ -99,7 +103,7 @@
  public:
   explicit Failed(Failure failure) : m_failure(std::move(failure)) {}
   template <class T>
-  operator Result<T>() && {  // NOLINT(google-explicit-constructor): so that `return fail(...)` reads well
+  operator Result<T>() && {  // NOLINT(google-explicit-constructor): implicit so that `return fail(...)` works
     return boost::leaf::capture(internal::make_failure_context(),
                                 [&]() -> Result<T> { return boost::leaf::new_error(std::move(m_failure)); });
   }
@@ -108,9 +112,11 @@
   Failure m_failure;
 };
 
+/** \returns an object that converts to a Result<T> with this failure, for `return fail(...)`. */
 inline Failed fail(Failure failure) { return Failed(std::move(failure)); }
 
-/** Takes the failure out of a result that holds one; the result is spent. */
+/** Moves the failure out of a result, which must not be used afterwards. To be called only if the result holds one.
+ * \returns the failure; Internal if the result's error is of another type */
 template <class T>
 Failure takeFailure(Result<T>& result) {
   return boost::leaf::try_handle_all([&]() -> Result<Failure> { return result.error(); },
--- a/Courseloom/src/Core/Log.cpp
+++ b/Courseloom/src/Core/Log.cpp
@@ -34,22 +34,27 @@
   return name;
 }
 
-constexpr int QueueLines = 2048;
-/** Lines that one event may write in a second; further ones are counted. Refusals and losses get more. */
+/** Lines that may wait to be written; further ones are dropped. */
+constexpr int MaxQueuedLines = 2048;
+/** Budget of one event, lines a second; lines beyond it are only counted. Warnings and errors, such as refusals and
+ * losses, have a larger budget. */
 constexpr unsigned LinesEachSecond = 100;
 constexpr unsigned WarningsEachSecond = 200;
-/** Lines that all stories together may write in a second before fewer of them are told. */
-constexpr unsigned StoryLinesEachSecond = 200;
+/** Budget of all log groups together, lines a second, above which fewer groups are written. */
+constexpr unsigned GroupedLinesEachSecond = 200;
+/** All event numbers are below this. */
 constexpr std::size_t EventNumbers = 1000;
 
 std::int64_t second_now() { return BootClock::now().time_since_epoch() / milliseconds(1000); }
 
 /** \class EventBudget
- * \brief Bounds what one event may write, and counts what was left out.
+ * \brief Limits the lines that each event writes in a second, and counts the lines that were left out.
  */
 class EventBudget {
  public:
-  /** \param omitted set to the lines left out in the last busy second, once it is over. \returns whether to write */
+  /** Decides on one line of an event. \param allowed budget, lines a second
+   * \param omitted set to the number of lines left out in the last second that had lines of the event, once it is over
+   * \returns whether to write the line */
   bool take(schema::Event event, unsigned allowed, std::uint64_t& omitted) {
     const std::int64_t second = second_now();
     const std::lock_guard lock(m_mutex);
@@ -97,9 +102,10 @@
   } else {
     appender = std::make_shared<log4cxx::FileAppender>(layout, file, true);
   }
-  // Whoever logs never waits for whoever reads: a full queue drops lines, and the appender says how many.
+  // A thread that logs must never block on the reader of the log: if the queue is full, lines are dropped, and the
+  // appender reports how many.
   auto queue = std::make_shared<log4cxx::AsyncAppender>();
-  queue->setBufferSize(internal::QueueLines);
+  queue->setBufferSize(internal::MaxQueuedLines);
   queue->setBlocking(false);
   queue->addAppender(appender);
   log4cxx::BasicConfigurator::configure(queue);
@@ -123,10 +129,10 @@
 void logEvent(schema::Event event, std::initializer_list<LogField> fields) {
   const log4cxx::LevelPtr level = log4cxx::Level::toLevel(internal::event_rule(event).level());
   if (!internal::process_logger()->isEnabledFor(level)) return;
-  const bool serious = level->isGreaterOrEqual(log4cxx::Level::getWarn());
+  const bool isWarning = level->isGreaterOrEqual(log4cxx::Level::getWarn());
   std::uint64_t omitted = 0;
-  const bool write =
-      internal::event_budget().take(event, serious ? internal::WarningsEachSecond : internal::LinesEachSecond, omitted);
+  const bool write = internal::event_budget().take(
+      event, isWarning ? internal::WarningsEachSecond : internal::LinesEachSecond, omitted);
   if (omitted > 0) {
     internal::write_line(schema::LinesOmitted, log4cxx::Level::getWarn(),
                          {{"of", schema::Event_Name(event)}, {"count", omitted}});
@@ -134,16 +140,16 @@
   if (write) internal::write_line(event, level, fields);
 }
 
-void logStory(schema::Event event, const std::string& story, std::initializer_list<LogField> fields) {
+void logStory(schema::Event event, const std::string& group, std::initializer_list<LogField> fields) {
   const log4cxx::LevelPtr level = log4cxx::Level::toLevel(internal::event_rule(event).level());
   if (!internal::process_logger()->isEnabledFor(level)) return;
   static std::mutex mutex;
-  static StoryChoice choice(internal::StoryLinesEachSecond);
+  static StoryChoice sampler(internal::GroupedLinesEachSecond);
   std::uint64_t omitted = 0;
   bool write = false;
   {
     const std::lock_guard lock(mutex);
-    write = choice.take(XXH64(story.data(), story.size(), 0), internal::second_now(), omitted);
+    write = sampler.take(XXH64(group.data(), group.size(), 0), internal::second_now(), omitted);
   }
   if (omitted > 0)
     internal::write_line(schema::LinesOmitted, log4cxx::Level::getWarn(), {{"of", "stories"}, {"count", omitted}});
--- a/Courseloom/src/Core/Log.h
+++ b/Courseloom/src/Core/Log.h
@@ -13,7 +13,7 @@
 namespace courseloom {
 
 /** \class LogField
- * \brief One named value of a log event.
+ * \brief One named value of a log event; numbers are written in decimal.
  */
 struct LogField {
   LogField(const char* fieldName, std::string fieldValue) : name(fieldName), value(std::move(fieldValue)) {}
@@ -25,21 +25,23 @@
 /** Sets up log4cxx with its JSON layout.
  * \param process name of this process, a field of each line
  * \param level TRACE, DEBUG, INFO, WARN or ERROR
- * \param file path of the log; empty is standard output
+ * \param file path of the log file, which is appended to; empty is standard output
  */
 void setUpLog(const std::string& process, const std::string& level, const std::string& file);
 
-/** Writes one numbered event at the level that schema/events.proto gives it. Safe from any thread; never waits for the
- * reader. Each event has a budget of lines a second; what is left out is counted by an event LinesOmitted. */
+/** Writes one numbered event at the level that schema/events.proto gives it. May be called from any thread. Never
+ * blocks on the reader of the log. Each event has a budget of lines a second; lines beyond it are left out, and their
+ * number is logged by an event LinesOmitted. */
 void logEvent(schema::Event event, std::initializer_list<LogField> fields = {});
-/** Writes one event of a story, such as a run of a workflow: where there are more lines than fit, fewer stories are
- * written, and each of those whole. \param story its name \sa StoryChoice */
-void logStory(schema::Event event, const std::string& story, std::initializer_list<LogField> fields);
+/** Writes one event of a log group, such as the events of a workflow's runs. If there are more lines than the budget of
+ * all groups allows, fewer groups are written, and each of these completely.
+ * \param group name of the log group \sa StoryChoice */
+void logStory(schema::Event event, const std::string& group, std::initializer_list<LogField> fields);
 /** Writes one numbered event with a failure's code, ran, step, peer and detail. */
 void logFailure(schema::Event event, const Failure& failure);
-/** Writes out what is queued; nothing is logged afterwards. */
+/** Writes the queued lines and shuts the log down; nothing can be logged afterwards. */
 void flushLog();
-/** \returns the catalogue of events as a Markdown page. */
+/** \returns the list of all events as a Markdown page. */
 std::string describeEvents();
 
 }  // namespace courseloom
--- a/Courseloom/src/Core/RcuPointer.h
+++ b/Courseloom/src/Core/RcuPointer.h
@@ -12,7 +12,10 @@
 namespace courseloom {
 
 /** \class RcuReadGuard
- * \brief Marks a read-side section. Short, and never across a suspended coroutine: what is needed later is copied out.
+ * \brief Marks an RCU read-side critical section for as long as it exists.
+ *
+ * The section must be short, and a coroutine must not be suspended within it. Values that are needed later must be
+ * copied.
  */
 class RcuReadGuard {
  public:
@@ -23,10 +26,10 @@
 };
 
 /** \class RcuPointer
- * \brief An immutable value that many threads read without a lock while one replaces it (read-copy-update).
+ * \brief An immutable value that threads read without a lock while another thread replaces it (read-copy-update).
  *
- * Readers hold an RcuReadGuard for as long as they use the value. publish() waits until the last reader of the old
- * value has left, so it must not be called from within a read section.
+ * A reader must hold an RcuReadGuard for as long as it uses the value. publish() waits until all readers of the old
+ * value have released their guards, so it must not be called within a read-side section.
  */
 template <class T>
 class RcuPointer {
@@ -36,8 +39,9 @@
   RcuPointer(const RcuPointer&) = delete;
   RcuPointer& operator=(const RcuPointer&) = delete;
 
-  /** \returns the value in force; valid while `guard` lives. */
+  /** \returns the current value; the reference is valid as long as `guard` exists. */
   const T& read(const RcuReadGuard& /*guard*/) const { return *m_value.load(std::memory_order_acquire); }
+  /** Replaces the value, waits for the readers of the old one, and deletes it. */
   void publish(std::unique_ptr<const T> next) {
     const std::lock_guard lock(m_publishing);
     const T* old = m_value.exchange(next.release(), std::memory_order_acq_rel);
--- a/Courseloom/src/Core/StoryChoice.cpp
+++ b/Courseloom/src/Core/StoryChoice.cpp
@@ -11,33 +11,33 @@
 namespace internal {
 namespace {
 
-/** One story in about a million is enough for any load. */
-constexpr unsigned MostHalvings = 20;
-/** A second that used less than this part of its budget lets more stories in. */
-constexpr unsigned LittleUsed = 4;
+/** Largest number of halvings: one log group in about a million is few enough for any load. */
+constexpr unsigned MaxHalvings = 20;
+/** A second that used less than the budget divided by this lets one halving be undone, so more groups are written. */
+constexpr unsigned LowUsageDivisor = 4;
 
 }  // namespace
 }  // namespace internal
 
 void StoryChoice::beginSecond(std::int64_t second) {
-  const bool quiet = m_written * internal::LittleUsed < m_lines;
-  const std::int64_t calm = second - m_second - (quiet ? 0 : 1);
-  m_halvings -= static_cast<unsigned>(std::clamp<std::int64_t>(calm, 0, m_halvings));
+  const bool lowUsage = m_written * internal::LowUsageDivisor < m_lines;
+  const std::int64_t secondsOfLowUsage = second - m_second - (lowUsage ? 0 : 1);
+  m_halvings -= static_cast<unsigned>(std::clamp<std::int64_t>(secondsOfLowUsage, 0, m_halvings));
   m_second = second;
   m_written = 0;
   m_halveAt = m_lines;
 }
 
-bool StoryChoice::take(std::uint64_t story, std::int64_t second, std::uint64_t& omitted) {
+bool StoryChoice::take(std::uint64_t group, std::int64_t second, std::uint64_t& omitted) {
   if (second != m_second) {
     omitted = std::exchange(m_omitted, 0);
     beginSecond(second);
   }
-  if (m_written >= m_halveAt && m_halvings < internal::MostHalvings) {
+  if (m_written >= m_halveAt && m_halvings < internal::MaxHalvings) {
     ++m_halvings;
     m_halveAt += m_lines / 2;
   }
-  if (!isChosen(story)) {
+  if (!isSampled(group)) {
     ++m_omitted;
     return false;
   }
--- a/Courseloom/src/Core/StoryChoice.h
+++ b/Courseloom/src/Core/StoryChoice.h
@@ -8,30 +8,33 @@
 namespace courseloom {
 
 /** \class StoryChoice
- * \brief Chooses whose lines are logged when there are more than a second's budget holds.
+ * \brief Samples log groups when there are more log lines than the budget of a second allows.
  *
- * Lines that belong together, such as those of one workflow's runs, are written or left out together: each time that
- * the budget is used up half as many stories are chosen, always from among the former ones, so that the last ones are
- * told from beginning to end. More are chosen again after a second that used little of it.
+ * The lines of a group belong together, such as those of one workflow's runs. They are all written or all left out.
+ * Each time the budget is used up, the number of sampled groups is halved. The remaining groups are always a subset of
+ * the former ones, so that their lines are complete from the first to the last. The number is doubled again after a
+ * second that used less than a quarter of the budget.
  */
 class StoryChoice {
  public:
+  /** \param linesEachSecond budget, in lines a second */
   explicit StoryChoice(unsigned linesEachSecond) : m_lines(linesEachSecond) {}
 
-  /** \param story a hash of the story's name \param second now, in whole seconds \param omitted set to the lines left
-   * out in the last busy second, once it is over. \returns whether to write the line */
-  bool take(std::uint64_t story, std::int64_t second, std::uint64_t& omitted);
+  /** Decides on one line. \param group a hash of the group's name \param second now, in whole seconds
+   * \param omitted set to the number of lines left out and not yet reported, if this is the first line of a new second
+   * \returns whether to write the line */
+  bool take(std::uint64_t group, std::int64_t second, std::uint64_t& omitted);
 
  private:
-  bool isChosen(std::uint64_t story) const { return (story & ((std::uint64_t{1} << m_halvings) - 1)) == 0; }
+  bool isSampled(std::uint64_t group) const { return (group & ((std::uint64_t{1} << m_halvings) - 1)) == 0; }
   void beginSecond(std::int64_t second);
 
   unsigned m_lines;
-  unsigned m_halvings = 0;  ///< one in so many powers of two is chosen
-  unsigned m_written = 0;   ///< in this second
-  unsigned m_halveAt = 0;   ///< so many lines written in this second halve the choice again
-  std::uint64_t m_omitted = 0;
-  std::int64_t m_second = -1;
+  unsigned m_halvings = 0;      ///< one in 2^m_halvings groups is sampled
+  unsigned m_written = 0;       ///< lines written in this second
+  unsigned m_halveAt = 0;       ///< number of lines written in this second at which the sampled groups are halved again
+  std::uint64_t m_omitted = 0;  ///< lines left out and not reported yet
+  std::int64_t m_second = -1;   ///< the current second; -1 before the first line
 };
 
 }  // namespace courseloom
--- a/Courseloom/src/Core/TargetLife.h
+++ b/Courseloom/src/Core/TargetLife.h
@@ -10,20 +10,20 @@
 namespace courseloom {
 
 /** \class TargetLife
- * \brief One life of a target's process: the identity that it registers under, and when it began.
+ * \brief One incarnation of a target, from the start of its process to the end: identity and start time.
  *
- * A process may begin again under the identity that it had; it then knows nothing of before. Everything that courseloom
- * remembers of a target goes by the name of a life, which holds both: messages, the log, health, tickets.
+ * A process may be restarted with the same identity and then has no state of its former incarnation. Messages, the log,
+ * health and tickets therefore identify a target by the name of its incarnation, which holds identity and start time.
  */
 struct TargetLife {
-  std::string id;
-  std::uint64_t bornMs = 0;  ///< ms since 1970, by the target's own word; 0 if it never says
+  std::string id;            ///< identity with which the process registers
+  std::uint64_t bornMs = 0;  ///< start time that the target reports, ms since 1970; 0 if it reports none
 
-  /** \returns ID@BORN, or ID alone for a target that never says when it began. */
+  /** \returns ID@START with the start time in ms since 1970, or ID alone if the start time is 0. */
   std::string name() const;
-  /** Reads a name. */
+  /** Parses a name(). The start time is 0 if the name has none, or if it is not a number. */
   static TargetLife named(std::string_view name);
-  /** \returns whether an identity can be told from the rest of a name. */
+  /** \returns whether a text is valid as an identity: not empty, and without the '@' that precedes the start time. */
   static bool isIdentity(std::string_view id);
 };
 
--- a/Courseloom/src/State/ClaimTable.cpp
+++ b/Courseloom/src/State/ClaimTable.cpp
@@ -8,8 +8,8 @@
 schema::CommandReply ClaimTable::open(const schema::OpenClaim& request, std::uint64_t timeMs) {
   schema::CommandReply reply;
   schema::Claim& claim = m_claims[{request.token().workspace(), request.token().request_id()}];
-  const bool fresh = !claim.has_token();
-  if (!fresh && claim.digest() != request.digest()) {
+  const bool isNew = !claim.has_token();
+  if (!isNew && claim.digest() != request.digest()) {
     const Failure reused{FailureCode::RequestIdReused,
                          Ran::No,
                          "claim",
@@ -19,8 +19,8 @@
     *reply.mutable_failure() = toInfo(reused);
     return reply;
   }
-  if (fresh || claim.phase() == schema::ClaimVoid) {
-    const std::uint32_t attempt = fresh ? 1 : claim.token().attempt() + 1;
+  if (isNew || claim.phase() == schema::ClaimVoid) {
+    const std::uint32_t attempt = isNew ? 1 : claim.token().attempt() + 1;
     *claim.mutable_token() = request.token();
     claim.mutable_token()->set_attempt(attempt);
     claim.set_digest(request.digest());
--- a/Courseloom/src/State/ClusterState.cpp
+++ b/Courseloom/src/State/ClusterState.cpp
@@ -57,11 +57,11 @@
   return found == m_replies.end() ? nullptr : &found->second;
 }
 
-/** The parts of a command that a resend repeats: not its time. */
+/** \returns a digest of those parts of a command that a retry repeats, so without its time. */
 static std::string commandDigest(const schema::Command& command) {
   schema::Command repeated = command;
   repeated.clear_time_ms();
-  // What the leader knew then says nothing of what was asked.
+  // The data halls are filled in by the leader from what it knows at that time, and are not part of the request.
   if (repeated.has_action()) repeated.mutable_action()->clear_halls();
   return digestOf(repeated);
 }
@@ -117,7 +117,7 @@
     case schema::Command::kRemove:
       return removeObject(index, command);
     case schema::Command::kAction:
-      return act(index, command);
+      return applyAction(index, command);
     case schema::Command::kOpenClaim:
       return m_claims.open(command.open_claim(), command.time_ms());
     case schema::Command::kEndClaim:
@@ -169,7 +169,7 @@
   return reply;
 }
 
-// ---- operators' actions
+// ---- actions of operators
 
 schema::CommandReply ClusterState::matchAction(const schema::Action& action, std::vector<ObjectId>& objects,
                                                std::vector<std::string>& jobs) const {
@@ -191,20 +191,20 @@
   return reply;
 }
 
-schema::CommandReply ClusterState::act(LogIndex index, const schema::Command& command) {
+schema::CommandReply ClusterState::applyAction(LogIndex index, const schema::Command& command) {
   std::vector<ObjectId> objects;
   std::vector<std::string> jobs;
   schema::CommandReply reply = matchAction(command.action(), objects, jobs);
   if (reply.has_failure()) return reply;
-  for (const ObjectId& id : objects) actOnObject(id, command.action(), index, command.operator_name());
-  for (const std::string& id : jobs) actOnJob(m_jobs.at(id), command.action());
-  for (const std::string& hall : command.action().halls()) actOnHall(hall, index, command);
+  for (const ObjectId& id : objects) applyActionToObject(id, command.action(), index, command.operator_name());
+  for (const std::string& id : jobs) applyActionToJob(m_jobs.at(id), command.action());
+  for (const std::string& hall : command.action().halls()) applyActionToHall(hall, index, command);
   reply.set_revision(objects.empty() ? m_objects.revision() : index);
   return reply;
 }
 
-void ClusterState::actOnObject(const ObjectId& id, const schema::Action& action, LogIndex index,
-                               const std::string& operatorName) {
+void ClusterState::applyActionToObject(const ObjectId& id, const schema::Action& action, LogIndex index,
+                                       const std::string& operatorName) {
   schema::Object object = *m_objects.find(id.first, id.second);
   switch (action.kind()) {
     case schema::Pause:
@@ -226,13 +226,13 @@
   m_objects.put(std::move(object), index, operatorName);
 }
 
-void ClusterState::actOnHall(const std::string& hall, LogIndex index, const schema::Command& command) {
+void ClusterState::applyActionToHall(const std::string& hall, LogIndex index, const schema::Command& command) {
   if (command.action().kind() == schema::Drain)
     m_hallDrains.add(hall, command.time_ms(), command.operator_name(), index);
   if (command.action().kind() == schema::Resume) m_hallDrains.remove(hall);
 }
 
-void ClusterState::actOnJob(schema::Job& job, const schema::Action& action) {
+void ClusterState::applyActionToJob(schema::Job& job, const schema::Action& action) {
   switch (action.kind()) {
     case schema::Pause:
     case schema::Drain:
@@ -250,7 +250,7 @@
     default:
       return;
   }
-  touch(job.id());
+  markChanged(job.id());
 }
 
 // ---- jobs
@@ -285,7 +285,7 @@
   job.set_spec_digest(digestOf(spec));
   job.set_submitted_ms(command.time_ms());
   if (!spec.request_id().empty()) m_jobByRequest[request] = id;
-  touch(id);
+  markChanged(id);
   *reply.mutable_job() = job;
   return reply;
 }
@@ -304,7 +304,7 @@
       job.set_ended_ms(command.time_ms());
       m_endedJobs.emplace_back(command.time_ms(), job.id());
     }
-    touch(job.id());
+    markChanged(job.id());
   }
   schema::CommandReply reply;
   *reply.mutable_job() = job;
@@ -320,15 +320,16 @@
                                      "job '" + change.job().id() + "' is no longer in that phase", 0});
   }
   const auto& leases = change.job().leases();
-  const bool given = change.from() == schema::JobQueued &&
-                     std::any_of(leases.begin(), leases.end(),
-                                 [this](const schema::Lease& lease) { return lease.number() < m_nextLease; });
-  if (given) {
+  const bool leaseReused = change.from() == schema::JobQueued &&
+                           std::any_of(leases.begin(), leases.end(),
+                                       [this](const schema::Lease& lease) { return lease.number() < m_nextLease; });
+  if (leaseReused) {
     return internal::refusal(Failure{FailureCode::Conflict, Ran::No, "change job", "",
                                      "job '" + change.job().id() + "' names a lease that was given before", 0});
   }
   schema::Job next = change.job();
-  // What callers and operators decide is theirs; the scheduler's copy may be older.
+  // Callers and operators decide the spec, the pause and the cancellation; the scheduler's copy of these may be
+  // outdated.
   *next.mutable_spec() = found->second.spec();
   next.set_paused(found->second.paused());
   next.set_cancel_wanted(found->second.cancel_wanted());
@@ -338,7 +339,7 @@
     m_endedJobs.emplace_back(command.time_ms(), next.id());
   }
   found->second = std::move(next);
-  touch(found->first);
+  markChanged(found->first);
   schema::CommandReply reply;
   *reply.mutable_job() = found->second;
   return reply;
@@ -398,7 +399,7 @@
     const std::string& request = job.spec().request_id();
     if (!request.empty()) m_jobByRequest[{job.spec().workspace(), request}] = job.id();
     if (isEnded(job.phase())) ended.emplace(job.ended_ms(), job.id());
-    touch(job.id());
+    markChanged(job.id());
   }
   m_endedJobs.assign(ended.begin(), ended.end());
   for (const schema::KeptReply& kept : snapshot.replies()) {
--- a/Courseloom/src/State/ClusterState.h
+++ b/Courseloom/src/State/ClusterState.h
@@ -17,29 +17,33 @@
 namespace courseloom {
 
 /** \class StateLimits
- * \brief Bounds that every replica must hold to alike; they come from the cluster's settings.
+ * \brief Limits from the cluster's settings; they must be the same at every replica, as apply() depends on them.
  */
 struct StateLimits {
-  std::size_t maxAnswerBytes = 65536;
-  std::uint64_t retentionMs = 7ULL * 24 * 3600 * 1000;
-  std::uint64_t workflowRetentionMs = 300ULL * 1000;
+  std::size_t maxAnswerBytes = 65536;                   ///< largest answer body that a claim keeps
+  std::uint64_t retentionMs = 7ULL * 24 * 3600 * 1000;  ///< of ended claims, ended jobs and replies
+  std::uint64_t workflowRetentionMs = 300ULL * 1000;    ///< of ended workflows
 };
 
 /** \class ClusterState
- * \brief The replicated state machine: configuration, claims, jobs and remembered command ids.
+ * \brief The replicated state machine: configuration, claims, jobs, workflows and the replies to recent commands.
  *
- * apply() depends on nothing but the state, the entry and its index, so every replica comes to the same state.
+ * apply() depends only on the state, the log entry and its index. Replicas that apply the same log therefore hold the
+ * same state.
  */
 class ClusterState {
  public:
   explicit ClusterState(StateLimits limits = {}) : m_limits(limits), m_workflows(limits.workflowRetentionMs) {}
 
-  /** Applies one committed command. A command whose id was seen gets its first reply and changes nothing. */
+  /** Applies one committed command. A command with the id of an earlier one changes nothing: it gets the reply to the
+   * first command, or the failure CommandIdReused if its content differs. */
   schema::CommandReply apply(LogIndex index, const schema::Command& command);
-  /** Says what a command would do, without doing it: for dry runs and early refusals. */
+  /** Checks a command without applying it, for dry runs and for rejection before the command enters the log.
+   * \returns the failure that apply() would report for changes of objects and for selectors; for an action, what it
+   * matches; empty for other commands */
   schema::CommandReply preview(const schema::Command& command) const;
 
-  /** \returns whether a command id was seen, so that the command would only get its first reply again. */
+  /** \returns whether a command with this id was applied and its reply is still kept. */
   bool knowsCommand(const std::string& commandId) const { return keptReply(commandId) != nullptr; }
 
   const ObjectTable& objects() const { return m_objects; }
@@ -48,32 +52,38 @@
   WorkflowTable& workflows() { return m_workflows; }
   const HallDrains& hallDrains() const { return m_hallDrains; }
   const std::map<std::string, schema::Job>& jobs() const { return m_jobs; }
+  /** \returns the job, or nullptr if there is none. */
   const schema::Job* job(const std::string& id) const;
-  /** \returns jobs changed since the last call, for the scheduler; each id once. */
+  /** \returns the ids of jobs that changed since the last call, for the scheduler, and clears the list. */
   std::set<std::string> takeChangedJobs();
+  /** \returns the lowest lease number that was not granted yet. */
   std::uint64_t nextLease() const { return m_nextLease; }
 
+  /** \returns the state as a serialized snapshot. */
   std::string save() const;
+  /** Replaces the state by that of a snapshot.
+   * \returns StorageDamaged, with the state unchanged, if the snapshot cannot be parsed */
   Result<void> load(const std::string& bytes);
 
  private:
   schema::CommandReply applyNew(LogIndex index, const schema::Command& command);
   schema::CommandReply applyObjects(LogIndex index, const schema::Command& command);
   schema::CommandReply removeObject(LogIndex index, const schema::Command& command);
-  schema::CommandReply act(LogIndex index, const schema::Command& command);
+  schema::CommandReply applyAction(LogIndex index, const schema::Command& command);
   schema::CommandReply submit(const schema::Command& command);
   schema::CommandReply cancel(const schema::Command& command);
   schema::CommandReply changeJob(const schema::Command& command);
   schema::CommandReply applyToWorkflows(const schema::Command& command);
   schema::CommandReply matchAction(const schema::Action& action, std::vector<ObjectId>& objects,
                                    std::vector<std::string>& jobs) const;
-  void actOnObject(const ObjectId& id, const schema::Action& action, LogIndex index, const std::string& operatorName);
-  void actOnHall(const std::string& hall, LogIndex index, const schema::Command& command);
-  void actOnJob(schema::Job& job, const schema::Action& action);
+  void applyActionToObject(const ObjectId& id, const schema::Action& action, LogIndex index,
+                           const std::string& operatorName);
+  void applyActionToHall(const std::string& hall, LogIndex index, const schema::Command& command);
+  void applyActionToJob(schema::Job& job, const schema::Action& action);
   const schema::KeptReply* keptReply(const std::string& commandId) const;
   void keepReply(const schema::Command& command, const schema::CommandReply& reply);
   void expire(std::uint64_t nowMs);
-  void touch(const std::string& jobId) { m_changedJobs.insert(jobId); }
+  void markChanged(const std::string& jobId) { m_changedJobs.insert(jobId); }
 
   StateLimits m_limits;
   ObjectTable m_objects;
@@ -81,18 +91,18 @@
   WorkflowTable m_workflows;
   HallDrains m_hallDrains;
   std::map<std::string, schema::Job> m_jobs;
-  std::map<std::pair<std::string, std::string>, std::string> m_jobByRequest;
-  std::deque<std::pair<std::uint64_t, std::string>> m_endedJobs;
-  std::map<std::string, schema::KeptReply> m_replies;
-  std::deque<std::pair<std::uint64_t, std::string>> m_replyOrder;
+  std::map<std::pair<std::string, std::string>, std::string> m_jobByRequest;  ///< by workspace and request id
+  std::deque<std::pair<std::uint64_t, std::string>> m_endedJobs;   ///< time of the end and job id, oldest first
+  std::map<std::string, schema::KeptReply> m_replies;              ///< by command id
+  std::deque<std::pair<std::uint64_t, std::string>> m_replyOrder;  ///< time and command id, oldest first
   std::set<std::string> m_changedJobs;
   std::uint64_t m_nextLease = 1;
   std::uint64_t m_nextJob = 1;
 };
 
-/** \returns whether a job has come to its end. */
+/** \returns whether a job has ended: finished, cancelled or lost. */
 bool isEnded(schema::JobPhase phase);
-/** \returns a digest of a message, by its serialized bytes. */
+/** \returns the 128-bit XXH3 hash of a message's deterministic serialization, as 16 bytes. */
 std::string digestOf(const google::protobuf::Message& message);
 
 }  // namespace courseloom
--- a/Courseloom/src/State/CrashRecord.cpp
+++ b/Courseloom/src/State/CrashRecord.cpp
@@ -17,7 +17,7 @@
     m_lastStarts = 0;
     return;
   }
-  // A run that never began is no start.
+  // A voided run never began, so its start does not count.
   if (end.kind() == schema::RunVoided && m_lastStarts > 0) --m_lastStarts;
   if (end.crash() == schema::NoCrash) return;
   schema::TargetCrash& crash = m_crashes.emplace_back();
@@ -27,16 +27,16 @@
   crash.set_after_ms(end.crash_after_ms());
 }
 
-std::size_t CrashRecord::crashesAlone() const {
+std::size_t CrashRecord::isolatedCrashes() const {
   return static_cast<std::size_t>(std::count_if(
       m_crashes.begin(), m_crashes.end(), [](const auto& crash) { return crash.kind() == schema::CrashAtStart; }));
 }
 
-bool CrashRecord::suspect() const { return crashesAlone() > 0 || m_crashes.size() > 1; }
+bool CrashRecord::needsTrial() const { return isolatedCrashes() > 0 || m_crashes.size() > 1; }
 
 bool CrashRecord::convicted() const {
   if (m_crashes.size() < CrashesAllowed) return false;
-  return crashesAlone() >= CrashesAlone || m_lastStarts >= StartsLeft;
+  return isolatedCrashes() >= IsolatedCrashLimit || m_lastStarts >= StartsLeft;
 }
 
 std::string CrashRecord::evidence() const {
--- a/Courseloom/src/State/CrashRecord.h
+++ b/Courseloom/src/State/CrashRecord.h
@@ -11,44 +11,51 @@
 namespace courseloom {
 
 /** \class CrashRecord
- * \brief Targets that have crashed under one task, and when that is enough to start it no more.
+ * \brief The crashes of targets during runs of one task, and the decision when to stop starting the task.
+ *
+ * A crash of a target ends all runs on it, so the kind of the crash matters: one right after the start of the task's
+ * run, with nothing else just started there, weighs more than the others. A run that is seen at its target for longer
+ * than a crash at a start takes clears the record. The record is part of the replicated state: it depends only on
+ * committed starts and ends.
  *
- * A target takes down all that runs on it, so that a crash accuses a task only if its run had just been started there.
- * A run that lives clears its task. Part of the replicated state: the verdict rests on committed starts and ends alone.
  * \sa WorkflowTable
  */
 class CrashRecord {
  public:
-  /** Crashes under a task after which only StartsLeft more starts may follow. */
+  /** Number of crashes from which on only StartsLeft more starts of the task may follow. */
   static constexpr std::size_t CrashesAllowed = 3;
-  /** Crashes right after a start, with nothing else just started there, that convict a task together with others. */
-  static constexpr std::size_t CrashesAlone = 2;
+  /** Number of crashes right after a start, with nothing else just started at the target, that stop a task which has
+   * CrashesAllowed crashes in all. */
+  static constexpr std::size_t IsolatedCrashLimit = 2;
+  /** Starts allowed after CrashesAllowed crashes. */
   static constexpr std::uint32_t StartsLeft = 2;
 
-  /** Takes a committed start in. */
+  /** Records a committed start of a run. */
   void started();
-  /** Takes a committed end in. \param run the run that has ended */
+  /** Records a committed end. \param run the run that ended \param end its end, with the kind of crash */
   void ended(const schema::ActiveRun& run, const schema::RunEnd& end);
 
-  /** \returns whether any crash speaks against the task. */
+  /** \returns whether any crash is recorded. */
   bool accused() const { return !m_crashes.empty(); }
-  /** \returns whether the task is to be tried where nothing else is started meanwhile. */
-  bool suspect() const;
-  /** \returns whether the task is not to be started again; to be asked while none of its runs is active. */
+  /** \returns whether the next start must be a trial start, at a target that is kept free of other starts: after a
+   * crash with nothing else just started, or after any two crashes. */
+  bool needsTrial() const;
+  /** \returns whether the task must not be started again. Valid only while none of its runs is active. */
   bool convicted() const;
   /** \returns the crashes, oldest first. */
   const std::vector<schema::TargetCrash>& crashes() const { return m_crashes; }
-  /** \returns the crashes as a person reads them: target, run, kind and time after the start. */
+  /** \returns the crashes as readable text: target, run, kind and time after the start in ms, if that is known. */
   std::string evidence() const;
 
   void save(schema::TaskRecord& record) const;
   void load(const schema::TaskRecord& record);
 
  private:
-  std::size_t crashesAlone() const;
+  /** \returns the number of crashes right after a start with nothing else just started at the target. */
+  std::size_t isolatedCrashes() const;
 
   std::vector<schema::TargetCrash> m_crashes;
-  std::uint32_t m_lastStarts = 0;  ///< starts since CrashesAllowed was reached
+  std::uint32_t m_lastStarts = 0;  ///< starts since the number of crashes reached CrashesAllowed
 };
 
 }  // namespace courseloom
--- a/Courseloom/src/State/HallDrains.cpp
+++ b/Courseloom/src/State/HallDrains.cpp
@@ -11,7 +11,7 @@
 namespace internal {
 namespace {
 
-constexpr std::size_t LongestHallName = 64;
+constexpr std::size_t MaxHallNameLength = 64;
 
 bool is_name_character(char c) {
   return std::isalnum(static_cast<unsigned char>(c)) != 0 || c == '-' || c == '_' || c == '.';
@@ -20,12 +20,13 @@
 }  // namespace
 }  // namespace internal
 
-bool HallDrains::add(const std::string& hall, std::uint64_t timeMs, const std::string& by, std::uint64_t revision) {
+bool HallDrains::add(const std::string& hall, std::uint64_t timeMs, const std::string& operatorName,
+                     std::uint64_t revision) {
   const auto [entry, added] = m_drains.try_emplace(hall);
   if (!added) return false;
   entry->second.set_data_hall(hall);
   entry->second.set_since_ms(timeMs);
-  entry->second.set_operator_name(by);
+  entry->second.set_operator_name(operatorName);
   entry->second.set_revision(revision);
   ++m_version;
   return true;
@@ -54,7 +55,7 @@
 }
 
 bool isHallName(const std::string& text) {
-  const bool fits = !text.empty() && text.size() <= internal::LongestHallName;
+  const bool fits = !text.empty() && text.size() <= internal::MaxHallNameLength;
   return fits && std::all_of(text.begin(), text.end(), internal::is_name_character);
 }
 
--- a/Courseloom/src/State/HallDrains.h
+++ b/Courseloom/src/State/HallDrains.h
@@ -13,21 +13,23 @@
 namespace courseloom {
 
 /** \class HallDrains
- * \brief The replicated list of data halls that are drained: nothing new runs there until they are given back.
+ * \brief The replicated list of drained data halls. Nothing new runs in a drained data hall until its drain is removed.
  *
- * A drain that is there already, or is not, stays as it is, so that an order may be sent again. \sa ClusterState
+ * Adding a drain that exists, or removing one that does not, changes nothing, so an order may be retried.
+ * \sa ClusterState
  */
 class HallDrains {
  public:
-  /** Drains a data hall. \param by operator who asked for it \param revision log index of the order
-   * \returns whether that is new */
-  bool add(const std::string& hall, std::uint64_t timeMs, const std::string& by, std::uint64_t revision);
-  /** Gives a data hall back. \returns whether it was drained */
+  /** Drains a data hall. \param timeMs time of the order, ms since 1970 \param operatorName operator who ordered it
+   * \param revision log index of the order \returns false if the data hall was already drained */
+  bool add(const std::string& hall, std::uint64_t timeMs, const std::string& operatorName, std::uint64_t revision);
+  /** Removes the drain of a data hall. \returns whether it was drained */
   bool remove(const std::string& hall);
   bool contains(const std::string& hall) const { return m_drains.count(hall) > 0; }
+  /** \returns the names of the drained data halls. */
   std::set<std::string> halls() const;
   const std::map<std::string, schema::HallDrain>& drains() const { return m_drains; }
-  /** \returns a number that grows with each change. */
+  /** \returns a number that grows with each change of the list. */
   std::uint64_t version() const { return m_version; }
 
   void save(schema::StateSnapshot& snapshot) const;
@@ -38,7 +40,7 @@
   std::uint64_t m_version = 1;
 };
 
-/** \returns whether a text may name a data hall: 1 to 64 letters, digits, '-', '_' or '.'. */
+/** \returns whether a text is a valid name of a data hall: 1 to 64 letters, digits, '-', '_' or '.'. */
 bool isHallName(const std::string& text);
 
 }  // namespace courseloom
--- a/Courseloom/src/State/ObjectTable.cpp
+++ b/Courseloom/src/State/ObjectTable.cpp
@@ -70,14 +70,14 @@
 }
 
 Result<void> ObjectTable::check(const schema::ApplyObjects& change) const {
-  std::set<ObjectId> arriving;
+  std::set<ObjectId> submitted;
   for (const schema::Object& object : change.objects()) {
     const std::string kind = kindOf(object);
     if (kind.empty()) {
       return fail(Failure{FailureCode::BadRequest, Ran::No, "apply", object.name(),
                           "an object has exactly one of service, workspace and guarantee", 0});
     }
-    if (!arriving.insert({kind, object.name()}).second) {
+    if (!submitted.insert({kind, object.name()}).second) {
       return fail(internal::conflict(kind + " '" + object.name() + "' is given twice"));
     }
   }
@@ -92,13 +92,13 @@
     }
     if (!object.has_guarantee()) continue;
     const std::string& workspace = object.guarantee().workspace();
-    if (find("workspace", workspace) == nullptr && arriving.count({"workspace", workspace}) == 0) {
+    if (find("workspace", workspace) == nullptr && submitted.count({"workspace", workspace}) == 0) {
       return fail(internal::unknown_reference(
           FailureCode::UnknownWorkspace,
           "guarantee '" + object.name() + "' names workspace '" + workspace + "', which does not exist"));
     }
     const std::string& service = object.guarantee().service();
-    if (!service.empty() && find("service", service) == nullptr && arriving.count({"service", service}) == 0) {
+    if (!service.empty() && find("service", service) == nullptr && submitted.count({"service", service}) == 0) {
       return fail(internal::unknown_reference(
           FailureCode::UnknownService,
           "guarantee '" + object.name() + "' names service '" + service + "', which does not exist"));
@@ -133,7 +133,7 @@
     schema::Object next = object;
     const schema::Object* current = find(kindOf(object), object.name());
     if (current != nullptr) {
-      // Pause and drain are operators' actions; applying a file does not undo them.
+      // Operators pause and drain by actions; applying a configuration file does not undo these.
       next.set_paused(next.paused() || current->paused());
       next.set_draining(next.draining() || current->draining());
     }
--- a/Courseloom/src/State/RunOutlook.h
+++ b/Courseloom/src/State/RunOutlook.h
@@ -14,96 +14,102 @@
 namespace courseloom {
 
 /** \class TargetPace
- * \brief How slow one target is believed to be.
+ * \brief Estimated slowdown of one target.
  */
 struct TargetPace {
-  /** Logarithm of its run times against those of a usual target: 0.7 is twice as long. */
+  /** Logarithm of the target's run times relative to those of a usual target: 0.7 is twice as long. */
   double slowness = 0.0;
-  /** Standard error of that. */
+  /** Standard error of the slowdown, also on the logarithmic scale. */
   double error = 0.0;
 };
 
-/** How targets are told apart where that is told. */
+/** Class of a target's speed, for log events and status reports. */
 enum class TargetSpeed : std::uint8_t { Usual, Slow, Fast };
-/** \returns the kind of a target: usual, unless it surely is not. */
+/** \returns the class of a target's speed: Usual if its absolute slowdown is below 0.1 or below its standard error. */
 TargetSpeed speedOf(const TargetPace& pace);
 
 /** \class StepOfRuns
- * \brief Whose tasks ran, as far as it matters to their run times.
+ * \brief The properties of a step that its tasks' run times depend on.
  */
 struct StepOfRuns {
-  std::string name;  ///< "WORKFLOW.OCCURRENCE.STEP"
-  std::string queue;
-  double estimateMs = 0.0;
-  bool gang = false;  ///< all its tasks do the same work
+  std::string name;         ///< "WORKFLOW.OCCURRENCE.STEP"
+  std::string queue;        ///< queue whose run times are learnt from the step
+  double estimateMs = 0.0;  ///< estimated run time of one task, as submitted; 0 if there is none
+  bool gang = false;        ///< whether all its tasks do the same work
 };
 
 /** \class RunOutlook
- * \brief Run times to be expected of a task on a target, learnt from what ran.
+ * \brief Predicts the run time of a task on a target from the run times seen.
  *
- * The logarithm of a run's time is taken as the sum of what its step asks for and how slow its target is. What runs of
- * one step show on several targets tells these apart: the members of a gang do the same work, so that one gang tells
- * its targets' speeds to a few hundredths; other tasks of a step differ by about a seventh. When its workflow has
- * ended, the belief in each of its targets is renewed, and what the step asked for, free of its targets, goes to its
- * queue.
+ * The logarithm of a run time is modelled as the sum of the amount of work of the run's step and the slowdown of its
+ * target. The runs of one step on several targets separate the two. The members of a gang do the same work, so one gang
+ * determines the slowdowns of its targets to a few hundredths. Other tasks of a step differ by about a seventh. When a
+ * workflow has ended, the estimated slowdown of each of its targets is updated, and the step's amount of work,
+ * corrected for the slowdowns of its targets, is added to the run times of its queue.
  *
- * It is part of the replicated state, so that a new leader, also one that began from a snapshot, knows what the former
- * one knew. Source of the idea: throughputs of work on unlike machines as in Gavel (Narayanan et al., OSDI 2020); the
- * update is that of a Kalman filter whose random walk lets a target turn slow.
+ * The estimator is part of the replicated state, so that a new leader, also one that started from a snapshot, has the
+ * estimates of the former leader. Source of the idea: throughputs of work on unlike machines as in Gavel (Narayanan et
+ * al., OSDI 2020). The update is that of a Kalman filter whose random walk allows a target's slowdown to change.
  */
 class RunOutlook {
  public:
-  /** Targets' lives that are remembered; the one not seen for the longest time goes first. */
+  /** Largest number of target incarnations with an estimate; the one with the oldest last run is evicted first. */
   static constexpr std::size_t MostTargets = 4096;
 
-  /** Takes in what a run showed. \param wholeMs time that a task takes there from its beginning to its end
-   * \param nowMs wall clock */
-  void ran(const StepOfRuns& step, const std::string& target, double wholeMs, std::uint64_t nowMs);
-  /** Learns from the steps of a workflow that has ended, and forgets them. */
+  /** Records the run time of a task; a run time or an estimate of the step that is not above 0 is ignored.
+   * \param fullRunMs time that the whole task takes on the target from its beginning to its end, ms
+   * \param nowMs wall clock, ms since 1970 */
+  void ran(const StepOfRuns& step, const std::string& target, double fullRunMs, std::uint64_t nowMs);
+  /** Updates the estimates from the steps of a workflow that has ended, and removes these steps. */
   void closeWorkflow(const std::string& workflow);
-  /** Learns from all steps as they are by now; for a copy that is used for a moment. */
+  /** Updates the estimates from the runs so far of all open steps, and removes the steps. Meant for short-lived copies,
+   * since later runs of these steps would count as new steps. */
   void closeAll();
-  /** Forgets a target whose life is over. */
-  void forget(const std::string& target) { m_beliefs.erase(target); }
+  /** Removes the estimate of a target incarnation that has ended. */
+  void forget(const std::string& target) { m_estimates.erase(target); }
 
-  /** \returns the run time of a task to be expected on a usual target, ms. */
+  /** \returns the expected run time of a task on a usual target, ms. */
   double expectedMs(const std::string& queue, double estimateMs) const { return m_times.expectedMs(queue, estimateMs); }
-  /** \returns how slow a target is; usual, with the error of a guess, if nothing was seen of it. */
+  /** \returns the slowdown of a target; 0 with the standard error of the initial estimate if no run counted yet. */
   TargetPace paceOf(const std::string& target) const;
-  /** \returns how many times as long as on a usual target a task takes on one. */
+  /** \returns the run time of a task on a target relative to that on a usual target; 1 is equal, 2 is twice as long. */
   double timeFactor(const std::string& target) const;
-  std::size_t targets() const { return m_beliefs.size(); }
+  /** \returns the number of target incarnations with an estimate. */
+  std::size_t targets() const { return m_estimates.size(); }
+  /** \returns the number of steps with recorded runs that did not update the estimates yet. */
   std::size_t openSteps() const { return m_open.size(); }
 
   void save(schema::StateSnapshot& snapshot) const;
   void load(const schema::StateSnapshot& snapshot);
 
  private:
-  struct Belief {
-    double slowness = 0.0;
+  /** State of a target's filter. */
+  struct TargetEstimate {
+    double slowdown = 0.0;
     double variance = 0.0;
-    std::uint64_t seenMs = 0;
+    std::uint64_t lastSeenMs = 0;  ///< lastSeenMs of the step that updated it last
   };
   struct OpenStep {
-    StepOfRuns step;
-    std::map<std::string, std::vector<double>> logs;  ///< of run times in ms, by target
-    std::uint64_t seenMs = 0;
+    StepOfRuns info;
+    std::map<std::string, std::vector<double>> logTimes;  ///< logarithms of run times in ms, by target
+    std::uint64_t lastSeenMs = 0;                         ///< when its newest run was recorded, ms since 1970
   };
-  /** What one target shows of a step. */
-  struct Sight {
-    Belief* belief = nullptr;
-    double value = 0.0;     ///< logarithm of the run time against the estimate
-    double variance = 0.0;  ///< of that, beside what is not known of the step and the target
-    double ofStep = 0.0;    ///< the value less the target's slowness, within bounds
+  /** What the runs of one step on one target show. */
+  struct Observation {
+    TargetEstimate* targetEstimate = nullptr;
+    double value = 0.0;       ///< logarithm of the median run time relative to the step's estimate
+    double variance = 0.0;    ///< of the value, without the uncertainty of the step's work and the target's slowdown
+    double stepEffect = 0.0;  ///< the value minus the target's slowdown, clamped to a range around the median
   };
 
-  Belief& beliefIn(const std::string& target);
-  std::vector<Sight> sightsOf(const OpenStep& step);
-  static void boundOfStep(std::vector<Sight>& sights);
+  /** \returns the estimate of a target, newly added if there is none; may evict another target's. */
+  TargetEstimate& estimateFor(const std::string& target);
+  std::vector<Observation> observationsOf(const OpenStep& step);
+  static void clampStepEffects(std::vector<Observation>& observations);
   void learn(const OpenStep& step);
 
-  std::map<std::string, Belief> m_beliefs;  ///< by target
-  std::map<std::string, OpenStep> m_open;   ///< by step
+  std::map<std::string, TargetEstimate> m_estimates;  ///< by target
+  std::map<std::string, OpenStep> m_open;             ///< by step
   RunTimes m_times;
 };
 
--- a/Courseloom/src/State/RunTimes.cpp
+++ b/Courseloom/src/State/RunTimes.cpp
@@ -11,18 +11,18 @@
 namespace internal {
 namespace {
 
-/** Ended runs that weigh as much as the belief in the estimates; a few steps' worth of tasks. */
+/** Weight, in ended runs, of the prior assumption that the estimates are right; as many as the tasks of a few steps. */
 constexpr double PriorRuns = 10.0;
-/** Variance of the logarithms of estimates that goes with that belief: estimates that differ by half. */
+/** Variance of the logarithms of the estimates under this prior assumption: estimates that differ by half. */
 constexpr double PriorVariance = 0.25;
 
 }  // namespace
 }  // namespace internal
 
-void RunTimes::ended(const std::string& queue, double estimateMs, double tookMs, double weight) {
-  if (estimateMs <= 0.0 || tookMs <= 0.0) return;
+void RunTimes::ended(const std::string& queue, double estimateMs, double runMs, double weight) {
+  if (estimateMs <= 0.0 || runMs <= 0.0) return;
   const double x = std::log(estimateMs);
-  const double y = std::log(tookMs);
+  const double y = std::log(runMs);
   Sums& sums = m_queues[queue];
   sums.count += weight;
   sums.x += weight * x;
@@ -38,12 +38,12 @@
   const double meanX = sums.x / sums.count;
   const double meanY = sums.y / sums.count;
   const double prior = internal::PriorRuns * internal::PriorVariance;
-  const double spread = sums.xx - sums.count * meanX * meanX;
-  const double together = sums.xy - sums.count * meanX * meanY;
-  const double slope = std::clamp((together + prior) / (spread + prior), 0.0, 1.0);
-  const double trust = sums.count / (sums.count + internal::PriorRuns);
+  const double squaredDeviations = sums.xx - sums.count * meanX * meanX;
+  const double crossDeviations = sums.xy - sums.count * meanX * meanY;
+  const double slope = std::clamp((crossDeviations + prior) / (squaredDeviations + prior), 0.0, 1.0);
+  const double dataWeight = sums.count / (sums.count + internal::PriorRuns);
   const double x = std::log(estimateMs);
-  return std::exp(x + trust * (meanY - meanX + (slope - 1.0) * (x - meanX)));
+  return std::exp(x + dataWeight * (meanY - meanX + (slope - 1.0) * (x - meanX)));
 }
 
 void RunTimes::save(schema::StateSnapshot& snapshot) const {
--- a/Courseloom/src/State/RunTimes.h
+++ b/Courseloom/src/State/RunTimes.h
@@ -11,25 +11,25 @@
 namespace courseloom {
 
 /** \class RunTimes
- * \brief Run times to be expected of a queue's tasks, learnt from its estimates and how long its runs took.
+ * \brief Expected run times of a queue's tasks, learnt from the estimates and the run times of its runs.
  *
- * A straight line is fitted to the logarithms of run times over those of estimates, by least squares: a queue whose
- * estimates are right keeps them, one whose estimates say little has its mean run time expected. Until enough runs have
- * ended the estimate itself counts most.
- * \sa RunOutlook
+ * A straight line is fitted by least squares to the logarithms of the run times over those of the estimates. If a
+ * queue's estimates are right, they are returned unchanged; if they do not correlate with the run times, the queue's
+ * mean run time is returned. Until enough runs have ended, the estimate itself has the largest weight. \sa RunOutlook
  */
 class RunTimes {
  public:
-  /** Takes the run time of a task in. \param weight runs that it counts as */
-  void ended(const std::string& queue, double estimateMs, double tookMs, double weight = 1.0);
-  /** \returns the run time to be expected, ms. */
+  /** Records the run time of a task; an estimate or a run time that is not above 0 is ignored.
+   * \param weight number of runs that it counts as */
+  void ended(const std::string& queue, double estimateMs, double runMs, double weight = 1.0);
+  /** \returns the expected run time of a task, ms; the estimate itself if no run of the queue was recorded. */
   double expectedMs(const std::string& queue, double estimateMs) const;
 
   void save(schema::StateSnapshot& snapshot) const;
   void load(const schema::StateSnapshot& snapshot);
 
  private:
-  /** Sums over logarithms: x of the estimate, y of the run time. */
+  /** Weighted sums over runs. x is the logarithm of the estimate, y that of the run time. */
   struct Sums {
     double count = 0.0;
     double x = 0.0;
@@ -37,7 +37,7 @@
     double xx = 0.0;
     double xy = 0.0;
   };
-  std::map<std::string, Sums> m_queues;
+  std::map<std::string, Sums> m_queues;  ///< by queue
 };
 
 }  // namespace courseloom
--- a/Courseloom/src/State/Selector.h
+++ b/Courseloom/src/State/Selector.h
@@ -11,32 +11,34 @@
 
 namespace courseloom {
 
-using Labels = std::map<std::string, std::string>;
+using Labels = std::map<std::string, std::string>;  ///< values by key
 
-/** How one term of a selector compares. */
+/** Comparison that a term of a selector makes. */
 enum class SelectorOperator : std::uint8_t { Equal, NotEqual, In, NotIn, Exists, Missing };
 
 /** \class SelectorTerm
- * \brief One condition on one label.
+ * \brief One condition on the label with a given key.
  */
 struct SelectorTerm {
   std::string key;
   SelectorOperator comparison = SelectorOperator::Exists;
-  std::vector<std::string> values;
+  std::vector<std::string> values;  ///< one for Equal and NotEqual, none for Exists and Missing
 
+  /** \returns whether the condition holds. NotEqual and NotIn also hold where the label is missing. */
   bool matches(const Labels& labels) const;
 };
 
 /** \class Selector
  * \brief A conjunction of conditions over labels, such as `owner=fund-desk,urgency in (low,batch)`.
  *
- * Terms: `key=value`, `key!=value`, `key in (a,b)`, `key notin (a,b)`, `key`, `!key`. An empty selector is refused, so
- * that nobody touches everything by accident; `all` matches everything.
+ * Terms: `key=value`, `key!=value`, `key in (a,b)`, `key notin (a,b)`, `key`, `!key`. An empty selector is
+ * rejected, so that nobody selects everything by accident. The selector `all` matches everything.
  */
 class Selector {
  public:
-  /** Reads a selector's text. \returns BadSelector with the place of the error */
+  /** Parses the text of a selector. \returns the selector, or BadSelector with the column of the error */
   static Result<Selector> parse(const std::string& text);
+  /** \returns whether all conditions hold. */
   bool matches(const Labels& labels) const;
 
  private:
--- a/Courseloom/src/State/WorkflowTable.cpp
+++ b/Courseloom/src/State/WorkflowTable.cpp
@@ -11,11 +11,11 @@
 namespace internal {
 namespace {
 
-/** \returns whether a task counts among its step's active ones. */
+/** \returns whether a task is counted in WorkflowState::activeCounts. */
 bool is_active(const TaskState& task) { return !task.done && !task.active.empty(); }
 
-/** The task that keeps what belongs to a whole gang. */
-TaskKey lead_of(const WorkflowState& workflow, const TaskKey& key) {
+/** \returns the task at which failures and checkpoint are kept: the first of a gang, otherwise the task itself. */
+TaskKey shared_state_key(const WorkflowState& workflow, const TaskKey& key) {
   const bool gang = workflow.step(key.step).gang();
   return gang ? TaskKey{key.occurrence, key.step, 0} : key;
 }
@@ -69,9 +69,9 @@
 bool WorkflowState::stepWaits(const StepKey& key) const {
   const auto done = doneCounts.find(key);
   const auto active = activeCounts.find(key);
-  const std::uint32_t taken =
+  const std::uint32_t doneOrActive =
       (done == doneCounts.end() ? 0 : done->second) + (active == activeCounts.end() ? 0 : active->second);
-  return taken < step(key.step).count();
+  return doneOrActive < step(key.step).count();
 }
 
 bool WorkflowState::stepReady(const StepKey& key) const {
@@ -88,12 +88,12 @@
 }
 
 std::string WorkflowState::checkpointOf(const TaskKey& key) const {
-  const TaskState* state = task(internal::lead_of(*this, key));
+  const TaskState* state = task(internal::shared_state_key(*this, key));
   return state == nullptr ? std::string() : state->checkpoint;
 }
 
 bool WorkflowState::onLastAttempt(const TaskKey& key) const {
-  const TaskState* state = task(internal::lead_of(*this, key));
+  const TaskState* state = task(internal::shared_state_key(*this, key));
   return (state == nullptr ? 0 : state->failures) + 1 >= record.max_attempts();
 }
 
@@ -106,11 +106,12 @@
   return targets.size();
 }
 
-/** Equal tasks under which several targets have crashed are more likely at fault than each by itself. */
+/** If several targets crashed during tasks of one workflow, these tasks are more likely at fault than one such task
+ * alone, so each of them needs a trial start. */
 bool WorkflowState::onTrial(const TaskKey& key) const {
   const TaskState* state = accusedTasks == 0 ? nullptr : task(key);
   if (state == nullptr || !state->crashes.accused()) return false;
-  return state->crashes.suspect() || crashedTargets() > 1;
+  return state->crashes.needsTrial() || crashedTargets() > 1;
 }
 
 std::uint32_t WorkflowState::nextRun(const TaskKey& key) const {
@@ -200,18 +201,19 @@
   active.erase(run);
   if (wasActive && active.empty()) --workflow.activeCounts[key.stepKey()];
   --workflow.activeRuns;
-  learnFrom(workflow, ended, end, timeMs);
-  if (!end.checkpoint().empty()) workflow.tasks[internal::lead_of(workflow, key)].checkpoint = end.checkpoint();
+  recordRunTime(workflow, ended, end, timeMs);
+  if (!end.checkpoint().empty())
+    workflow.tasks[internal::shared_state_key(workflow, key)].checkpoint = end.checkpoint();
   if (!workflow.ended() && end.kind() == schema::RunDone && !workflow.step(key.step).long_running()) {
     markDone(workflow, key);
   }
   if (!workflow.ended() && end.kind() == schema::RunFailed) countFailure(workflow, key, end.run(), timeMs);
   noteCrash(workflow, key, ended, end, timeMs);
   finishIfDone(workflow, timeMs);
-  review(workflow);
+  closeIfFinished(workflow);
 }
 
-/** Other than failures, crashes bound a task that lasts too, and each member of a gang for itself. */
+/** Unlike failures, crashes also limit the starts of long-running tasks, and are counted for each member of a gang. */
 void WorkflowTable::noteCrash(WorkflowState& workflow, const TaskKey& key, const schema::ActiveRun& run,
                               const schema::RunEnd& end, std::uint64_t timeMs) {
   TaskState& task = workflow.tasks[key];
@@ -227,14 +229,14 @@
       timeMs);
 }
 
-void WorkflowTable::learnFrom(const WorkflowState& workflow, const schema::ActiveRun& run, const schema::RunEnd& end,
-                              std::uint64_t timeMs) {
+void WorkflowTable::recordRunTime(const WorkflowState& workflow, const schema::ActiveRun& run,
+                                  const schema::RunEnd& end, std::uint64_t timeMs) {
   if (end.kind() == schema::RunTargetLost) return m_outlook.forget(run.target());
   const StepKey step = keyOf(end.task()).stepKey();
   m_outlook.ran(stepOfRuns(workflow, step), run.target(), static_cast<double>(end.whole_ms()), timeMs);
 }
 
-/** A gang ends together: one member's end counts for all. */
+/** Marks a task as done. All members of a gang are done when one of them is. */
 void WorkflowTable::markDone(WorkflowState& workflow, const TaskKey& key) {
   const bool gang = workflow.step(key.step).gang();
   const std::uint32_t first = gang ? 0 : key.index;
@@ -252,7 +254,7 @@
 
 void WorkflowTable::countFailure(WorkflowState& workflow, const TaskKey& key, std::uint32_t run, std::uint64_t timeMs) {
   if (workflow.step(key.step).long_running()) return;
-  TaskState& lead = workflow.tasks[internal::lead_of(workflow, key)];
+  TaskState& lead = workflow.tasks[internal::shared_state_key(workflow, key)];
   if (lead.done || lead.failedRun == run) return;
   lead.failedRun = run;
   ++lead.failures;
@@ -278,14 +280,14 @@
   workflow.record.set_ended_ms(timeMs);
   m_ended.emplace_back(timeMs, workflow.record.id());
   m_justEnded.push_back(workflow.record.id());
-  review(workflow);
+  closeIfFinished(workflow);
 }
 
 std::vector<RunChange> WorkflowTable::takeRunChanges() { return std::exchange(m_runChanges, {}); }
 
 std::vector<std::string> WorkflowTable::takeEnded() { return std::exchange(m_justEnded, {}); }
 
-void WorkflowTable::review(const WorkflowState& workflow) {
+void WorkflowTable::closeIfFinished(const WorkflowState& workflow) {
   if (!workflow.ended() || workflow.activeRuns > 0) return;
   if (m_open.erase(workflow.record.id()) > 0) m_outlook.closeWorkflow(workflow.record.id());
 }
@@ -346,7 +348,7 @@
     }
     if (workflow.ended()) ended.emplace(saved.ended_ms(), saved.id());
     m_open.insert(saved.id());
-    review(workflow);
+    closeIfFinished(workflow);
   }
   m_ended.assign(ended.begin(), ended.end());
 }
--- a/Courseloom/src/State/WorkflowTable.h
+++ b/Courseloom/src/State/WorkflowTable.h
@@ -39,105 +39,114 @@
 };
 
 /** \class TaskState
- * \brief What the log knows of one task.
+ * \brief Replicated state of one task.
  */
 struct TaskState {
   bool done = false;
-  std::uint32_t failures = 0;   ///< runs that ended failed; of a gang kept with its first task
-  std::uint32_t failedRun = 0;  ///< newest run that counted as a failure
-  std::uint32_t lastRun = 0;    ///< highest run number ever committed
-  std::string checkpoint;       ///< newest one; of a gang kept with its first task
-  CrashRecord crashes;          ///< of targets under its runs; each member of a gang has its own
-  std::vector<schema::ActiveRun> active;
+  std::uint32_t failures = 0;             ///< runs that failed; a gang's are counted at its first task
+  std::uint32_t failedRun = 0;            ///< newest run counted in `failures`; 0 is none
+  std::uint32_t lastRun = 0;              ///< highest run number that was committed; 0 is none
+  std::string checkpoint;                 ///< newest one, empty if there is none; a gang's is kept at its first task
+  CrashRecord crashes;                    ///< of targets during its runs; each member of a gang has its own record
+  std::vector<schema::ActiveRun> active;  ///< runs that were committed as started and not as ended
 };
 
 /** \class WorkflowState
- * \brief One workflow with its tasks; a task that was never started has no entry.
+ * \brief Replicated state of one workflow. A task that was never started may have no entry in `tasks`.
  */
 struct WorkflowState {
-  schema::Workflow record;  ///< without its tasks
+  schema::Workflow record;  ///< without the states of its tasks, which are in `tasks`
   std::map<TaskKey, TaskState> tasks;
-  std::map<StepKey, std::uint32_t> doneCounts;
-  std::map<StepKey, std::uint32_t> activeCounts;  ///< tasks that are not done and have a run
-  unsigned activeRuns = 0;
-  unsigned accusedTasks = 0;  ///< tasks under which targets have crashed lately
+  std::map<StepKey, std::uint32_t> doneCounts;    ///< tasks that are done, by step
+  std::map<StepKey, std::uint32_t> activeCounts;  ///< tasks that are not done and have an active run, by step
+  unsigned activeRuns = 0;                        ///< of all tasks
+  unsigned accusedTasks = 0;                      ///< tasks whose crash record is not empty
 
   const schema::StepSpec& step(std::uint32_t index) const { return record.spec().steps(static_cast<int>(index)); }
   std::uint32_t occurrences() const { return std::max(1U, record.spec().occurrences()); }
-  /** \returns the task's state, or nothing if it was never started. */
+  /** \returns the state of a task, or nullptr if it has none, as before its first start. */
   const TaskState* task(const TaskKey& key) const;
+  /** \returns whether all tasks of a step are done. */
   bool stepDone(const StepKey& key) const;
-  /** \returns whether any task of a step is neither done nor running. */
+  /** \returns whether any task of a step is neither done nor has an active run. */
   bool stepWaits(const StepKey& key) const;
-  /** \returns whether all steps that a step waits for are done. */
+  /** \returns whether all steps that a step depends on are done. */
   bool stepReady(const StepKey& key) const;
-  /** \returns wall clock at which an occurrence is due, ms since 1970. */
+  /** \returns the wall-clock time at which an occurrence is due, ms since 1970; of a workflow without occurrences the
+   * time at which it was submitted. */
   std::uint64_t dueMs(std::uint32_t occurrence) const;
-  /** \returns checkpoint that the next run of a task has to bring. */
+  /** \returns the checkpoint from which the next run of a task, or of its gang, must start; empty if there is none. */
   std::string checkpointOf(const TaskKey& key) const;
   /** \returns the number that the next run of a task, or of its gang, must have. */
   std::uint32_t nextRun(const TaskKey& key) const;
   /** \returns whether the next failure of a task, or of its gang, ends the workflow. */
   bool onLastAttempt(const TaskKey& key) const;
-  /** \returns different targets that have crashed lately under tasks of the workflow. */
+  /** \returns the number of different targets in the crash records of the workflow's tasks. */
   std::size_t crashedTargets() const;
-  /** \returns whether a task has to be tried where nothing else is started meanwhile. */
+  /** \returns whether the next start of a task must be a trial start, at a target that is kept free of other starts. */
   bool onTrial(const TaskKey& key) const;
+  /** \returns whether the workflow has ended; it may still have active runs. */
   bool ended() const;
 };
 
-/** \returns what run times of a step are known by. */
+/** \returns the properties of a step that its tasks' run times depend on. */
 StepOfRuns stepOfRuns(const WorkflowState& workflow, const StepKey& key);
 
 /** \class RunChange
- * \brief One run that was committed as started, or as ended.
+ * \brief One committed start or end of a run.
  */
 struct RunChange {
   schema::TaskId task;
   schema::ActiveRun run;
-  bool started = false;  ///< otherwise ended
-  schema::RunEndKind kind = schema::RunDone;
-  std::uint64_t timeMs = 0;  ///< wall clock of the commit
+  bool started = false;                       ///< whether the run started; otherwise it ended
+  schema::RunEndKind kind = schema::RunDone;  ///< of an end; without meaning for a start
+  std::uint64_t timeMs = 0;                   ///< time of the command that recorded it, ms since 1970
 };
 
-/** \returns whether a workflow has come to its end. */
+/** \returns whether a workflow has ended: completed, failed or cancelled. */
 bool isEnded(schema::WorkflowPhase phase);
 TaskKey keyOf(const schema::TaskId& id);
-/** \returns "ID.OCCURRENCE.STEP.INDEX", as logs name a task. */
+/** \returns the name of a task in log events and messages: "ID.OCCURRENCE.STEP.INDEX". */
 std::string taskText(const schema::TaskId& id);
 schema::TaskId makeTaskId(const std::string& workflow, const TaskKey& key);
 
 /** \class WorkflowTable
- * \brief The replicated part of queues and workflows: configuration, workflows, and every run that may exist.
+ * \brief The replicated state of queues and workflows: configuration, workflows, and every run that may exist.
  *
- * A start is in here before its order leaves the leader, and an end is in here before the target may forget it.
- * Applying depends on nothing but the commands and their times. \sa ClusterState, RunLedger
+ * A start is recorded before the leader sends its order, and an end is recorded before the target may discard it. The
+ * table depends only on the commands and their times, so replicas that apply the same commands hold the same table.
+ * \sa ClusterState, RunLedger
  */
 class WorkflowTable {
  public:
+  /** \param retentionMs time for which ended workflows are kept */
   explicit WorkflowTable(std::uint64_t retentionMs = 300000) : m_retentionMs(retentionMs) {}
 
-  /** The highest version holds; one that is not above it is passed over. */
+  /** Replaces the configuration; one whose version is not above the current one is ignored. */
   void putConfiguration(const schema::QueueConfiguration& configuration);
-  /** The same id again is the same workflow. \returns whether it is new */
+  /** Adds a workflow; does nothing if there is one with the same id. \returns whether it was added */
   bool submit(const schema::Workflow& workflow, std::uint64_t timeMs);
-  /** \returns false if there is no such workflow */
+  /** Ends a workflow as cancelled, unless it has ended before. \returns false if there is no such workflow */
   bool cancel(const std::string& id, std::uint64_t timeMs);
-  /** Takes ends in, then starts; what no longer fits the state is passed over. */
+  /** Records ends of runs, then starts. Entries that no longer fit the state are ignored. */
   void record(const schema::RecordRuns& runs, std::uint64_t timeMs);
+  /** Removes workflows that ended longer than the retention time ago and have no active runs. */
   void expire(std::uint64_t nowMs);
 
   const schema::QueueConfiguration& configuration() const { return m_configuration; }
+  /** \returns whether there is a configuration; version 0 means none. */
   bool configured() const { return m_configuration.version() != 0; }
+  /** \returns the workflow, or nullptr if there is none. */
   const WorkflowState* find(const std::string& id) const;
-  /** \returns ids of workflows that have not ended or still have runs. */
+  /** \returns the ids of workflows that have not ended or still have active runs. */
   const std::set<std::string>& open() const { return m_open; }
   std::size_t size() const { return m_workflows.size(); }
-  /** \returns what the log tells of run times. */
+  /** \returns the run time estimator, updated from the committed runs. */
   const RunOutlook& outlook() const { return m_outlook; }
-  /** \returns runs that started or ended since the last call, in order. */
+  /** \returns the starts and ends of runs that were committed since the last call, in order, and clears the list. */
   std::vector<RunChange> takeRunChanges();
-  /** \returns workflows that ended since the last call; some may still have active runs. */
+  /** \returns the ids of workflows that ended since the last call, and clears the list; some may still have active
+   * runs. */
   std::vector<std::string> takeEnded();
 
   void save(schema::StateSnapshot& snapshot) const;
@@ -146,8 +155,8 @@
  private:
   void recordEnd(const schema::RunEnd& end, std::uint64_t timeMs);
   void recordStart(const schema::RunStart& start, std::uint64_t timeMs);
-  void learnFrom(const WorkflowState& workflow, const schema::ActiveRun& run, const schema::RunEnd& end,
-                 std::uint64_t timeMs);
+  void recordRunTime(const WorkflowState& workflow, const schema::ActiveRun& run, const schema::RunEnd& end,
+                     std::uint64_t timeMs);
   void markDone(WorkflowState& workflow, const TaskKey& key);
   void countFailure(WorkflowState& workflow, const TaskKey& key, std::uint32_t run, std::uint64_t timeMs);
   void noteCrash(WorkflowState& workflow, const TaskKey& key, const schema::ActiveRun& run, const schema::RunEnd& end,
@@ -155,16 +164,18 @@
   void finishIfDone(WorkflowState& workflow, std::uint64_t timeMs);
   void endWorkflow(WorkflowState& workflow, schema::WorkflowPhase phase, const std::string& reason,
                    std::uint64_t timeMs);
-  void review(const WorkflowState& workflow);
+  /** Removes a workflow that ended and has no active runs from the open ones, and updates the estimator from its steps.
+   */
+  void closeIfFinished(const WorkflowState& workflow);
 
   std::uint64_t m_retentionMs;
   schema::QueueConfiguration m_configuration;
   std::map<std::string, WorkflowState> m_workflows;
-  std::set<std::string> m_open;
+  std::set<std::string> m_open;  ///< ids of workflows that have not ended or have active runs
   RunOutlook m_outlook;
-  std::vector<RunChange> m_runChanges;
-  std::vector<std::string> m_justEnded;
-  std::deque<std::pair<std::uint64_t, std::string>> m_ended;  ///< time and id, oldest first
+  std::vector<RunChange> m_runChanges;                        ///< since the last call of takeRunChanges()
+  std::vector<std::string> m_justEnded;                       ///< ended since the last call of takeEnded()
+  std::deque<std::pair<std::uint64_t, std::string>> m_ended;  ///< time of the end and id, oldest first
 };
 
 }  // namespace courseloom
