--- a/Courseloom/src/Core/Clock.h
+++ b/Courseloom/src/Core/Clock.h
@@ -21,8 +21,8 @@
   static time_point now() noexcept;
 };
 
-using Duration = BootClock::duration;
-using Time = BootClock::time_point;
+using Duration = BootClock::duration;  ///< in microseconds
+using Time = BootClock::time_point;    ///< on the boot clock
 
 /** \returns a duration of whole milliseconds. */
 inline constexpr Duration milliseconds(std::int64_t count) { return std::chrono::milliseconds(count); }
--- a/Courseloom/src/Core/StoryChoice.h
+++ b/Courseloom/src/Core/StoryChoice.h
@@ -27,6 +27,7 @@
 
  private:
   bool isSampled(std::uint64_t group) const { return (group & ((std::uint64_t{1} << m_halvings) - 1)) == 0; }
+  /** Starts a new second: undoes one halving for each second of low usage, and resets the budget. */
   void beginSecond(std::int64_t second);
 
   unsigned m_lines;
--- a/Courseloom/src/State/ClaimTable.h
+++ b/Courseloom/src/State/ClaimTable.h
@@ -34,12 +34,15 @@
 
   /** \returns the claim, or nullptr if there is none. */
   const schema::Claim* find(const std::string& workspace, const std::string& requestId) const;
+  /** \returns the number of claims. */
   std::size_t size() const { return m_claims.size(); }
+  /** Adds all claims to a snapshot. */
   void save(schema::StateSnapshot& snapshot) const;
+  /** Replaces all claims by those of a snapshot. */
   void load(const schema::StateSnapshot& snapshot);
 
  private:
-  using Key = std::pair<std::string, std::string>;
+  using Key = std::pair<std::string, std::string>;  ///< workspace and request id
 
   std::map<Key, schema::Claim> m_claims;
   std::deque<std::pair<std::uint64_t, Key>> m_ended;  ///< time of the end (ms since 1970) and key, oldest first
--- a/Courseloom/src/State/CrashRecord.h
+++ b/Courseloom/src/State/CrashRecord.h
@@ -47,7 +47,9 @@
   /** \returns the crashes as readable text: target, run, kind and time after the start in ms, if that is known. */
   std::string evidence() const;
 
+  /** Adds the record to a task's part of a snapshot. */
   void save(schema::TaskRecord& record) const;
+  /** Replaces the record by that of a snapshot. */
   void load(const schema::TaskRecord& record);
 
  private:
--- a/Courseloom/src/State/HallDrains.h
+++ b/Courseloom/src/State/HallDrains.h
@@ -25,14 +25,18 @@
   bool add(const std::string& hall, std::uint64_t timeMs, const std::string& operatorName, std::uint64_t revision);
   /** Removes the drain of a data hall. \returns whether it was drained */
   bool remove(const std::string& hall);
+  /** \returns whether a data hall is drained. */
   bool contains(const std::string& hall) const { return m_drains.count(hall) > 0; }
   /** \returns the names of the drained data halls. */
   std::set<std::string> halls() const;
+  /** \returns the drains by data hall. */
   const std::map<std::string, schema::HallDrain>& drains() const { return m_drains; }
   /** \returns a number that grows with each change of the list. */
   std::uint64_t version() const { return m_version; }
 
+  /** Adds all drains to a snapshot. */
   void save(schema::StateSnapshot& snapshot) const;
+  /** Replaces all drains by those of a snapshot. */
   void load(const schema::StateSnapshot& snapshot);
 
  private:
--- a/Courseloom/src/State/ObjectTable.h
+++ b/Courseloom/src/State/ObjectTable.h
@@ -50,6 +50,7 @@
 
   /** \returns the object, or nullptr if there is none. */
   const schema::Object* find(const std::string& kind, const std::string& name) const;
+  /** \returns all objects by kind and name. */
   const std::map<ObjectId, schema::Object>& objects() const { return m_objects; }
   /** \returns the revision of the newest change. */
   std::uint64_t revision() const { return m_revision; }
@@ -57,10 +58,13 @@
    * \returns false if the history does not reach back that far, or if the revision is newer than the table */
   bool changesSince(std::uint64_t revision, std::vector<schema::ObjectChange>& changes) const;
 
+  /** Adds the objects, the history and the revisions to a snapshot. */
   void save(schema::StateSnapshot& snapshot) const;
+  /** Replaces the objects, the history and the revisions by those of a snapshot. */
   void load(const schema::StateSnapshot& snapshot);
 
  private:
+  /** Appends a change to the history and drops the oldest changes beyond MaxHistory. */
   void record(schema::ObjectChange change);
   /** \returns the operator who last changed an object, if the history still has that change. */
   std::string lastOperator(const ObjectId& id) const;
--- a/Courseloom/src/State/RunOutlook.h
+++ b/Courseloom/src/State/RunOutlook.h
@@ -23,7 +23,7 @@
   double error = 0.0;
 };
 
-/** Class of a target's speed, for log events and status reports. */
+/** Class of a target's speed, as log events name it. */
 enum class TargetSpeed : std::uint8_t { Usual, Slow, Fast };
 /** \returns the class of a target's speed: Usual if its absolute slowdown is below 0.1 or below its standard error. */
 TargetSpeed speedOf(const TargetPace& pace);
@@ -79,7 +79,9 @@
   /** \returns the number of steps with recorded runs that did not update the estimates yet. */
   std::size_t openSteps() const { return m_open.size(); }
 
+  /** Adds the estimates, the open steps and the run times of queues to a snapshot. */
   void save(schema::StateSnapshot& snapshot) const;
+  /** Replaces the estimates, the open steps and the run times of queues by those of a snapshot. */
   void load(const schema::StateSnapshot& snapshot);
 
  private:
@@ -104,8 +106,10 @@
 
   /** \returns the estimate of a target, newly added if there is none; may evict another target's. */
   TargetEstimate& estimateFor(const std::string& target);
+  /** \returns one observation for each target on which the step ran. */
   std::vector<Observation> observationsOf(const OpenStep& step);
   static void clampStepEffects(std::vector<Observation>& observations);
+  /** Updates the estimates of a step's targets and the run times of its queue from the runs of the step. */
   void learn(const OpenStep& step);
 
   std::map<std::string, TargetEstimate> m_estimates;  ///< by target
--- a/Courseloom/src/State/RunTimes.h
+++ b/Courseloom/src/State/RunTimes.h
@@ -25,7 +25,9 @@
   /** \returns the expected run time of a task, ms; the estimate itself if no run of the queue was recorded. */
   double expectedMs(const std::string& queue, double estimateMs) const;
 
+  /** Adds the sums of all queues to a snapshot. */
   void save(schema::StateSnapshot& snapshot) const;
+  /** Replaces the sums of all queues by those of a snapshot. */
   void load(const schema::StateSnapshot& snapshot);
 
  private:
--- a/Courseloom/src/State/Selector.h
+++ b/Courseloom/src/State/Selector.h
@@ -20,7 +20,7 @@
  * \brief One condition on the label with a given key.
  */
 struct SelectorTerm {
-  std::string key;
+  std::string key;  ///< key of the label
   SelectorOperator comparison = SelectorOperator::Exists;
   std::vector<std::string> values;  ///< one for Equal and NotEqual, none for Exists and Missing
 
--- a/Courseloom/src/State/WorkflowTable.h
+++ b/Courseloom/src/State/WorkflowTable.h
@@ -35,6 +35,7 @@
   std::uint32_t step = 0;
   std::uint32_t index = 0;
   auto operator<=>(const TaskKey&) const = default;
+  /** \returns the step of the task. */
   StepKey stepKey() const { return {occurrence, step}; }
 };
 
@@ -62,7 +63,9 @@
   unsigned activeRuns = 0;                        ///< of all tasks
   unsigned accusedTasks = 0;                      ///< tasks whose crash record is not empty
 
+  /** \returns the specification of a step; the index must be valid. */
   const schema::StepSpec& step(std::uint32_t index) const { return record.spec().steps(static_cast<int>(index)); }
+  /** \returns how often the steps run, at least 1. */
   std::uint32_t occurrences() const { return std::max(1U, record.spec().occurrences()); }
   /** \returns the state of a task, or nullptr if it has none, as before its first start. */
   const TaskState* task(const TaskKey& key) const;
@@ -105,9 +108,11 @@
 
 /** \returns whether a workflow has ended: completed, failed or cancelled. */
 bool isEnded(schema::WorkflowPhase phase);
+/** \returns the part of a task's id that identifies it within its workflow. */
 TaskKey keyOf(const schema::TaskId& id);
 /** \returns the name of a task in log events and messages: "ID.OCCURRENCE.STEP.INDEX". */
 std::string taskText(const schema::TaskId& id);
+/** \returns the id of a task of a workflow. */
 schema::TaskId makeTaskId(const std::string& workflow, const TaskKey& key);
 
 /** \class WorkflowTable
@@ -133,6 +138,7 @@
   /** Removes workflows that ended longer than the retention time ago and have no active runs. */
   void expire(std::uint64_t nowMs);
 
+  /** \returns the current configuration; its version is 0 if there is none. */
   const schema::QueueConfiguration& configuration() const { return m_configuration; }
   /** \returns whether there is a configuration; version 0 means none. */
   bool configured() const { return m_configuration.version() != 0; }
@@ -140,6 +146,7 @@
   const WorkflowState* find(const std::string& id) const;
   /** \returns the ids of workflows that have not ended or still have active runs. */
   const std::set<std::string>& open() const { return m_open; }
+  /** \returns the number of workflows, also of those that ended and are still kept. */
   std::size_t size() const { return m_workflows.size(); }
   /** \returns the run time estimator, updated from the committed runs. */
   const RunOutlook& outlook() const { return m_outlook; }
@@ -149,7 +156,9 @@
    * runs. */
   std::vector<std::string> takeEnded();
 
+  /** Adds the configuration, the workflows and the run time estimates to a snapshot. */
   void save(schema::StateSnapshot& snapshot) const;
+  /** Reads the table from a snapshot. To be called only on a table without workflows: existing ones are kept. */
   void load(const schema::StateSnapshot& snapshot);
 
  private:
@@ -158,9 +167,12 @@
   void recordRunTime(const WorkflowState& workflow, const schema::ActiveRun& run, const schema::RunEnd& end,
                      std::uint64_t timeMs);
   void markDone(WorkflowState& workflow, const TaskKey& key);
+  /** Counts a failed run, once for all members of a gang; the last allowed failure ends the workflow as failed. */
   void countFailure(WorkflowState& workflow, const TaskKey& key, std::uint32_t run, std::uint64_t timeMs);
+  /** Updates a task's crash record from an end; ends the workflow as failed if the task must not be started again. */
   void noteCrash(WorkflowState& workflow, const TaskKey& key, const schema::ActiveRun& run, const schema::RunEnd& end,
                  std::uint64_t timeMs);
+  /** Ends a workflow as completed if all steps of all its occurrences are done. */
   void finishIfDone(WorkflowState& workflow, std::uint64_t timeMs);
   void endWorkflow(WorkflowState& workflow, schema::WorkflowPhase phase, const std::string& reason,
                    std::uint64_t timeMs);
