--- a/Courseloom/src/Replication/LogStore.cpp
+++ b/Courseloom/src/Replication/LogStore.cpp
@@ -31,7 +31,8 @@
   std::uint32_t length = 0;
   std::uint64_t checksum = 0;
 };
-static_assert(sizeof(RecordHeader) == RecordHeaderBytes, "the header is written as it lies in memory");
+static_assert(sizeof(RecordHeader) == RecordHeaderBytes,
+              "the header is written with its layout in memory, which must have no padding");
 
 std::string make_record(const std::string& payload, std::uint64_t offset) {
   RecordHeader header{RecordMagic, static_cast<std::uint32_t>(payload.size()),
@@ -41,7 +42,7 @@
   return record + payload;
 }
 
-/** Reads the record at an offset; false if there is no whole, sound record. */
+/** Reads the record at an offset. \returns false if there is no complete record with a valid checksum. */
 bool read_record(const std::string& bytes, std::uint64_t offset, std::string& payload) {
   RecordHeader header;
   if (offset + sizeof(header) > bytes.size()) return false;
@@ -54,8 +55,8 @@
   return true;
 }
 
-/** \returns whether a sound record begins anywhere after an offset. */
-bool sound_record_after(const std::string& bytes, std::uint64_t offset) {
+/** \returns whether a valid record begins at any position after an offset. */
+bool valid_record_after(const std::string& bytes, std::uint64_t offset) {
   std::string payload;
   std::array<char, sizeof(RecordMagic)> magic{};
   std::memcpy(magic.data(), &RecordMagic, sizeof(RecordMagic));
@@ -89,7 +90,7 @@
   return Failure{code, Ran::Unknown, step, path(name), std::strerror(error), 0};
 }
 
-Failure LogStore::damaged(const std::string& name, std::uint64_t offset, const std::string& detail) const {
+Failure LogStore::damageFailure(const std::string& name, std::uint64_t offset, const std::string& detail) const {
   return Failure{FailureCode::StorageDamaged,
                  Ran::No,
                  "open storage",
@@ -109,8 +110,8 @@
   return {};
 }
 
-/** Replaces a file as a whole: written beside it, synced, renamed, folder synced. */
-Result<void> LogStore::writeWhole(const std::string& name, const std::string& bytes) {
+/** Replaces a file atomically: writes and syncs a temporary file, renames it, and syncs the folder. */
+Result<void> LogStore::replaceFile(const std::string& name, const std::string& bytes) {
   const std::string temporary = path(name + ".new");
   const int file = ::open(temporary.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644);
   if (file < 0) return fail(storageFailure("create", name, errno));
@@ -122,7 +123,7 @@
   return syncFolder();
 }
 
-Result<std::string> LogStore::readWhole(const std::string& name) const {
+Result<std::string> LogStore::readFile(const std::string& name) const {
   const int file = ::open(path(name).c_str(), O_RDONLY | O_CLOEXEC);
   if (file < 0) return fail(storageFailure("read", name, errno));
   std::string bytes;
@@ -144,16 +145,16 @@
     return fail(Failure{FailureCode::Conflict, Ran::No, "initialise storage", m_folder,
                         "the folder already holds a replica's data", 0});
   }
-  BOOST_LEAF_CHECK(writeWhole(internal::SnapshotFile, internal::make_record(snapshot.SerializeAsString(), 0)));
-  BOOST_LEAF_CHECK(writeWhole(internal::LogFile, ""));
-  return writeWhole(internal::IdentityFile, internal::make_record(identity.SerializeAsString(), 0));
+  BOOST_LEAF_CHECK(replaceFile(internal::SnapshotFile, internal::make_record(snapshot.SerializeAsString(), 0)));
+  BOOST_LEAF_CHECK(replaceFile(internal::LogFile, ""));
+  return replaceFile(internal::IdentityFile, internal::make_record(identity.SerializeAsString(), 0));
 }
 
 Result<ReplicaState> LogStore::open(const std::string& clusterId, ReplicaId replica) {
-  BOOST_LEAF_AUTO(identityBytes, readWhole(internal::IdentityFile));
+  BOOST_LEAF_AUTO(identityBytes, readFile(internal::IdentityFile));
   std::string payload;
   if (!internal::read_record(identityBytes, 0, payload) || !m_identity.ParseFromString(payload)) {
-    return fail(damaged(internal::IdentityFile, 0, "the identity is not readable"));
+    return fail(damageFailure(internal::IdentityFile, 0, "the identity is not readable"));
   }
   const auto refuse = [&](const std::string& detail) -> Result<ReplicaState> {
     return fail(Failure{FailureCode::BadSettings, Ran::No, "open storage", m_folder, detail, 0});
@@ -166,27 +167,28 @@
   if (m_identity.replica_id() != replica)
     return refuse("the data belongs to replica " + std::to_string(m_identity.replica_id()));
   ReplicaState state;
-  BOOST_LEAF_AUTO(snapshotBytes, readWhole(internal::SnapshotFile));
+  BOOST_LEAF_AUTO(snapshotBytes, readFile(internal::SnapshotFile));
   if (!internal::read_record(snapshotBytes, 0, payload) || !state.snapshot.ParseFromString(payload)) {
-    return fail(damaged(internal::SnapshotFile, 0, "the snapshot is not readable"));
+    return fail(damageFailure(internal::SnapshotFile, 0, "the snapshot is not readable"));
   }
   BOOST_LEAF_CHECK(readLog(state));
   return state;
 }
 
 Result<void> LogStore::readLog(ReplicaState& state) {
-  BOOST_LEAF_AUTO(bytes, readWhole(internal::LogFile));
+  BOOST_LEAF_AUTO(bytes, readFile(internal::LogFile));
   std::string payload;
   std::uint64_t offset = 0;
   while (offset < bytes.size() && internal::read_record(bytes, offset, payload)) {
     BOOST_LEAF_CHECK(applyRecord(payload, offset, state));
     offset += internal::RecordHeaderBytes + payload.size();
   }
-  // A crash between a snapshot's installation and the new log can leave entries that the snapshot overruled.
-  const bool overruled = !state.entries.empty() && state.entries.front().term() < state.snapshot.info().term();
-  if (overruled) state.entries.clear();
-  if (offset < bytes.size() && internal::sound_record_after(bytes, offset)) {
-    return fail(damaged(internal::LogFile, offset, "a damaged record that sound ones follow"));
+  // compact() writes the snapshot before the new log. A crash between the two can leave log entries of an older term
+  // than the snapshot's, which the snapshot supersedes.
+  const bool superseded = !state.entries.empty() && state.entries.front().term() < state.snapshot.info().term();
+  if (superseded) state.entries.clear();
+  if (offset < bytes.size() && internal::valid_record_after(bytes, offset)) {
+    return fail(damageFailure(internal::LogFile, offset, "a damaged record that sound ones follow"));
   }
   m_bytesCut = bytes.size() - offset;
   m_offset = offset;
@@ -201,13 +203,14 @@
 
 Result<void> LogStore::applyRecord(const std::string& payload, std::uint64_t offset, ReplicaState& state) const {
   schema::LogRecord record;
-  if (!record.ParseFromString(payload)) return fail(damaged(internal::LogFile, offset, "the record is not readable"));
+  if (!record.ParseFromString(payload))
+    return fail(damageFailure(internal::LogFile, offset, "the record is not readable"));
   if (record.has_hard()) state.hard = record.hard();
   const LogIndex base = state.snapshot.info().index();
   for (const schema::LogEntry& entry : record.entries()) {
     if (entry.index() <= base) continue;
     const LogIndex position = entry.index() - base - 1;
-    if (position > state.entries.size()) return fail(damaged(internal::LogFile, offset, "entries are missing"));
+    if (position > state.entries.size()) return fail(damageFailure(internal::LogFile, offset, "entries are missing"));
     state.entries.resize(position);
     state.entries.push_back(entry);
   }
@@ -232,13 +235,14 @@
 
 Result<void> LogStore::compact(const schema::Snapshot& snapshot, const schema::HardState& hard,
                                const std::vector<schema::LogEntry>& keep) {
-  // The snapshot first: an old log with a newer snapshot is readable, since covered entries are passed over.
-  BOOST_LEAF_CHECK(writeWhole(internal::SnapshotFile, internal::make_record(snapshot.SerializeAsString(), 0)));
+  // The snapshot is written first: an old log with a newer snapshot is readable, since applyRecord() skips the entries
+  // that the snapshot covers.
+  BOOST_LEAF_CHECK(replaceFile(internal::SnapshotFile, internal::make_record(snapshot.SerializeAsString(), 0)));
   schema::LogRecord record;
   *record.mutable_hard() = hard;
   for (const schema::LogEntry& entry : keep) *record.add_entries() = entry;
   const std::string bytes = internal::make_record(record.SerializeAsString(), 0);
-  BOOST_LEAF_CHECK(writeWhole(internal::LogFile, bytes));
+  BOOST_LEAF_CHECK(replaceFile(internal::LogFile, bytes));
   if (m_file >= 0) ::close(m_file);
   m_file = ::open(path(internal::LogFile).c_str(), O_WRONLY | O_CLOEXEC);
   if (m_file < 0) return fail(storageFailure("open", internal::LogFile, errno));
--- a/Courseloom/src/Replication/LogStore.h
+++ b/Courseloom/src/Replication/LogStore.h
@@ -11,12 +11,15 @@
 namespace courseloom {
 
 /** \class LogStore
- * \brief The data folder of one replica: identity, newest snapshot and log, each record with a checksum.
+ * \brief Stores the identity, the newest snapshot and the log of one replica in a data folder. Each record has a
+ * checksum.
  *
- * One record is written and synced at a time, so that only the last one can be torn. A torn last record was never
- * acknowledged and is cut at open; a bad record that a good one follows is damage and is refused with file and offset.
- * Format 1: each record is magic (4 bytes), length (4), xxh3 checksum seeded with the offset (8), protobuf bytes;
- * numbers little-endian. Blocking; use from one thread.
+ * Records are written and synced one at a time, so only the last record of the log can be torn. A torn last record
+ * was never acknowledged, and open() truncates it. An invalid record that is followed by a valid one means damage:
+ * open() fails and names the file and the offset.
+ * In format 1 a record consists of a magic number (4 bytes), the length of the payload (4 bytes), an xxh3 checksum of
+ * the payload seeded with the offset of the record (8 bytes), and the payload in protobuf encoding. Numbers are
+ * little-endian. All calls block; use an object from one thread.
  */
 class LogStore {
  public:
@@ -27,42 +30,47 @@
   LogStore(const LogStore&) = delete;
   LogStore& operator=(const LogStore&) = delete;
 
-  /** Makes a new data folder. \param snapshot state to start from: the founding one, or empty for a joining disk */
+  /** Creates a new data folder; fails with Conflict if it already holds an identity.
+   * \param snapshot state to start from: the founding snapshot, or an empty one for a joining disk */
   Result<void> initialise(const schema::DiskIdentity& identity, const schema::Snapshot& snapshot);
   /** \returns whether the folder holds an identity. */
   bool exists() const;
-  /** Reads everything back. \returns the replica's state; BadSettings for another cluster, replica or format */
+  /** Reads the stored state and opens the log for writing; call it before write() and compact().
+   * \returns the state of the replica; BadSettings if the data belongs to another cluster or replica or has another
+   * format; StorageDamaged if it is not readable */
   Result<ReplicaState> open(const std::string& clusterId, ReplicaId replica);
-  /** Writes one record and syncs it. */
+  /** Writes the parts of an output that are to be stored as one record and syncs it. A snapshot in `install` replaces
+   * the stored snapshot and log first. */
   Result<void> write(const ReplicaOutput& output);
-  /** Writes a snapshot and drops the log that it covers. \param keep entries that follow it */
+  /** Writes a snapshot and replaces the log. \param keep entries after the snapshot, which make up the new log */
   Result<void> compact(const schema::Snapshot& snapshot, const schema::HardState& hard,
                        const std::vector<schema::LogEntry>& keep);
-  /** Takes the identity away, so that the next start finds an empty folder. */
+  /** Deletes the identity, so that the next start treats the folder as empty. */
   Result<void> erase();
-  /** \returns free bytes on the folder's file system. */
+  /** \returns free bytes on the file system of the folder; 0 if they cannot be determined. */
   std::uint64_t freeBytes() const;
 
   const schema::DiskIdentity& identity() const { return m_identity; }
-  /** \returns bytes cut from a torn tail at open. */
+  /** \returns number of bytes that open() truncated from the end of the log. */
   std::uint64_t bytesCut() const { return m_bytesCut; }
+  /** \returns size of the log in bytes. */
   std::uint64_t logBytes() const { return m_offset; }
 
  private:
-  Result<std::string> readWhole(const std::string& name) const;
-  Result<void> writeWhole(const std::string& name, const std::string& bytes);
+  Result<std::string> readFile(const std::string& name) const;
+  Result<void> replaceFile(const std::string& name, const std::string& bytes);
   Result<void> readLog(ReplicaState& state);
   Result<void> applyRecord(const std::string& payload, std::uint64_t offset, ReplicaState& state) const;
   Result<void> appendRecord(const std::string& payload);
   Result<void> syncFolder() const;
   std::string path(const std::string& name) const { return m_folder + "/" + name; }
   Failure storageFailure(const std::string& step, const std::string& name, int error) const;
-  Failure damaged(const std::string& name, std::uint64_t offset, const std::string& detail) const;
+  Failure damageFailure(const std::string& name, std::uint64_t offset, const std::string& detail) const;
 
   std::string m_folder;
   schema::DiskIdentity m_identity;
   int m_file = -1;
-  std::uint64_t m_offset = 0;
+  std::uint64_t m_offset = 0;  ///< end of the log, where the next record is written
   std::uint64_t m_bytesCut = 0;
 };
 
--- a/Courseloom/src/Replication/Replica.cpp
+++ b/Courseloom/src/Replication/Replica.cpp
@@ -11,18 +11,21 @@
 
 namespace internal {
 namespace {
-/** Appends to one peer that may wait for their answer. */
+/** Maximum number of unanswered appends per peer. */
 constexpr unsigned MaxInFlight = 8;
+/** Maximum payload of one append in bytes; a single larger entry is sent alone. */
 constexpr std::size_t MaxAppendBytes = 1024UL * 1024;
-/** The lease ends this much before followers may vote again, for clocks that run apart: nine tenths. */
+/** The leader lease is nine tenths of the election timeout. It ends before followers may vote again, with a margin for
+ * clocks that run at different speeds. */
 constexpr int LeaseNumerator = 9;
 constexpr int LeaseDenominator = 10;
-/** Heartbeats without progress after which appends are sent again. */
+/** Number of heartbeat intervals without progress after which unanswered appends are sent again. */
 constexpr int ResendHeartbeats = 3;
-/** Heartbeats granted to a snapshot on its way. */
+/** Number of heartbeat intervals that a peer has to receive and install a snapshot. */
 constexpr int SnapshotHeartbeats = 20;
-/** Signs of life that a follower with a busy disk may send for each heartbeat. */
+/** Maximum number of early contact replies per heartbeat interval from a follower whose disk is busy. */
 constexpr int ContactsPerHeartbeat = 2;
+/** Messages whose term is ahead of the own term by this much or more are refused as impossible. */
 constexpr Term MaxTermStep = 1ULL << 32U;
 }  // namespace
 }  // namespace internal
@@ -35,7 +38,7 @@
       m_random(m_options.seed) {
   m_commit = std::max(m_log.snapshot().info().index(), std::min(m_hard.commit(), m_log.lastIndex()));
   m_syncedIndex = m_log.lastIndex();
-  if (m_options.mechanisms.waitAfterStart) m_leaderHeard = now;
+  if (m_options.mechanisms.waitAfterStart) m_lastLeaderContact = now;
   m_electionDue = now + randomTimeout();
   for (LogIndex index = m_log.firstIndex(); index <= m_commit; ++index) m_output.committed.push_back(m_log.at(index));
 }
@@ -53,7 +56,7 @@
   return m_options.electionTimeout + Duration(extra(m_random));
 }
 
-schema::ReplicaMessage Replica::make(schema::MessageKind kind, ReplicaId to) const {
+schema::ReplicaMessage Replica::makeMessage(schema::MessageKind kind, ReplicaId to) const {
   schema::ReplicaMessage message;
   message.set_cluster_id(m_options.clusterId);
   message.set_from(m_options.id);
@@ -65,7 +68,7 @@
   return message;
 }
 
-void Replica::persistHard() {
+void Replica::persistHardState() {
   m_hard.set_commit(m_commit);
   m_output.hard = m_hard;
 }
@@ -77,7 +80,7 @@
     if (!isLeader()) return;
     continueHandOver(now);
     demoteSurplusVoter(now);
-    forgetSilentLearner(now);
+    removeSilentLearner(now);
     if (now >= m_heartbeatDue) replicateToAll(now, true);
     return;
   }
@@ -102,7 +105,7 @@
       break;
   }
   if (message.term() < m_hard.term()) {
-    // A former leader learns the newer term from this answer.
+    // The answer informs a former leader of the newer term.
     if (message.kind() == schema::Append || message.kind() == schema::InstallSnapshot) replyToAppend(message, false, 0);
     return true;
   }
@@ -134,7 +137,7 @@
   if (term > m_hard.term()) {
     m_hard.set_term(term);
     m_hard.set_voted_for(0);
-    persistHard();
+    persistHardState();
   }
   m_role = ReplicaRole::Follower;
   m_leader = leader;
@@ -142,9 +145,9 @@
   m_electionDue = now + randomTimeout();
 }
 
-bool Replica::hearsLeader(Time now) const {
+bool Replica::hasLiveLeader(Time now) const {
   if (isLeader()) return true;
-  return m_leaderHeard != Time{} && now < m_leaderHeard + m_options.electionTimeout;
+  return m_lastLeaderContact != Time{} && now < m_lastLeaderContact + m_options.electionTimeout;
 }
 
 void Replica::startPreVote(Time now) {
@@ -153,7 +156,7 @@
   m_role = ReplicaRole::PreCandidate;
   m_leader = 0;
   m_votes = {m_options.id};
-  askForVotes(schema::PreVote, m_hard.term() + 1, false);
+  requestVotes(schema::PreVote, m_hard.term() + 1, false);
   if (m_votes.size() >= quorum()) startElection(now, false);
 }
 
@@ -162,22 +165,22 @@
   m_leader = 0;
   m_hard.set_term(m_hard.term() + 1);
   m_hard.set_voted_for(m_options.id);
-  persistHard();
+  persistHardState();
   m_electionDue = now + randomTimeout();
   m_votes = {m_options.id};
-  askForVotes(schema::Vote, m_hard.term(), forced);
+  requestVotes(schema::Vote, m_hard.term(), forced);
   if (m_votes.size() >= quorum()) becomeLeader(now);
 }
 
-void Replica::askForVotes(schema::MessageKind kind, Term term, bool forced) {
+void Replica::requestVotes(schema::MessageKind kind, Term term, bool forced) {
   for (const schema::Member& member : members().members()) {
     if (!member.voter() || member.id() == m_options.id) continue;
-    schema::ReplicaMessage request = make(kind, member.id());
+    schema::ReplicaMessage request = makeMessage(kind, member.id());
     request.set_term(term);
     request.set_prev_index(m_log.lastIndex());
     request.set_prev_term(m_log.lastTerm());
     request.set_forced(forced);
-    // The own vote must last before others are asked to add theirs.
+    // The own vote must be on disk before votes are requested from others.
     sendAfterSync(std::move(request));
   }
 }
@@ -189,17 +192,17 @@
 
 void Replica::onVoteRequest(const schema::ReplicaMessage& message, Time now) {
   const bool pre = message.kind() == schema::PreVote;
-  if (!message.forced() && hearsLeader(now)) return;
+  if (!message.forced() && hasLiveLeader(now)) return;
   if (!pre && message.term() > m_hard.term()) becomeFollower(message.term(), 0, now);
-  const bool termFits = pre ? message.term() > m_hard.term() : message.term() == m_hard.term();
-  const bool free = pre || m_hard.voted_for() == 0 || m_hard.voted_for() == message.from();
-  const bool granted = termFits && free && logIsUpToDate(message);
-  schema::ReplicaMessage reply = make(pre ? schema::PreVoteReply : schema::VoteReply, message.from());
+  const bool termMatches = pre ? message.term() > m_hard.term() : message.term() == m_hard.term();
+  const bool voteAvailable = pre || m_hard.voted_for() == 0 || m_hard.voted_for() == message.from();
+  const bool granted = termMatches && voteAvailable && logIsUpToDate(message);
+  schema::ReplicaMessage reply = makeMessage(pre ? schema::PreVoteReply : schema::VoteReply, message.from());
   reply.set_ok(granted);
   if (pre && granted) reply.set_term(message.term());
   if (!pre && granted && m_hard.voted_for() == 0) {
     m_hard.set_voted_for(message.from());
-    persistHard();
+    persistHardState();
     m_electionDue = now + randomTimeout();
   }
   sendAfterSync(std::move(reply));
@@ -238,23 +241,24 @@
 
 // ---- the follower's side of replication
 
-/** A leader's lease rests on followers that hear it, whatever their disks do. A sync of 1.9 s otherwise silenced a
- * follower for twice an election timeout of 0.6 s and ended a leadership that nothing else had hit. At most two signs
- * of life a heartbeat, since each costs a message. */
-void Replica::replyThatLeaderIsHeard(const schema::ReplicaMessage& message, Time now) {
-  const bool due = now >= m_contactSent + m_options.heartbeat / internal::ContactsPerHeartbeat;
+/** Confirms contact to the leader before the disk write completes. The leader lease depends only on followers that
+ * receive its messages, not on their disks. Without this reply, a disk sync of 1.9 s kept a follower from answering for
+ * more than twice an election timeout of 0.6 s, and an otherwise healthy leader stepped down. At most two such replies
+ * are sent per heartbeat interval, since each costs a message. */
+void Replica::sendEarlyContact(const schema::ReplicaMessage& message, Time now) {
+  const bool due = now >= m_earlyContactSent + m_options.heartbeat / internal::ContactsPerHeartbeat;
   if (!m_storing || !due || !m_options.mechanisms.contactWhileStoring) return;
-  m_contactSent = now;
-  schema::ReplicaMessage reply = make(schema::AppendReply, message.from());
+  m_earlyContactSent = now;
+  schema::ReplicaMessage reply = makeMessage(schema::AppendReply, message.from());
   reply.set_contact(true);
   reply.set_sent_us(message.sent_us());
   send(std::move(reply));
 }
 
 void Replica::replyToAppend(const schema::ReplicaMessage& message, bool ok, LogIndex match) {
-  schema::ReplicaMessage reply = make(schema::AppendReply, message.from());
+  schema::ReplicaMessage reply = makeMessage(schema::AppendReply, message.from());
   reply.set_ok(ok);
-  // A refusal says which append it refuses, and the last index that may agree.
+  // A refusal names the refused append by its previous index, and gives the last index at which the logs may agree.
   const LogIndex refused = message.prev_index();
   reply.set_match(ok ? match : std::min(m_log.lastIndex(), refused == 0 ? 0 : refused - 1));
   reply.set_prev_index(refused);
@@ -264,15 +268,15 @@
 
 void Replica::onAppend(const schema::ReplicaMessage& message, Time now) {
   becomeFollower(message.term(), message.from(), now);
-  m_leaderHeard = now;
-  replyThatLeaderIsHeard(message, now);
+  m_lastLeaderContact = now;
+  sendEarlyContact(message, now);
   LogIndex previous = message.prev_index();
   if (previous + 1 < m_log.firstIndex()) {
-    // What comes before the snapshot is committed and agrees.
+    // Entries covered by the snapshot are committed and therefore agree with the leader's log.
     replyToAppend(message, true, m_log.snapshot().info().index());
     return;
   }
-  if (!m_log.knows(previous) || m_log.termAt(previous) != message.prev_term()) {
+  if (!m_log.hasTermAt(previous) || m_log.termAt(previous) != message.prev_term()) {
     replyToAppend(message, false, 0);
     return;
   }
@@ -295,11 +299,11 @@
 
 void Replica::onSnapshot(const schema::ReplicaMessage& message, Time now) {
   becomeFollower(message.term(), message.from(), now);
-  m_leaderHeard = now;
-  replyThatLeaderIsHeard(message, now);
+  m_lastLeaderContact = now;
+  sendEarlyContact(message, now);
   const schema::SnapshotInfo& info = message.snapshot().info();
-  // Raft, chapter 5: a log that agrees with the snapshot is kept, since what follows may have been acknowledged.
-  const bool agrees = m_log.knows(info.index()) && m_log.termAt(info.index()) == info.term();
+  // Raft, chapter 5: a log that agrees with the snapshot is kept, since entries after it may have been acknowledged.
+  const bool agrees = m_log.hasTermAt(info.index()) && m_log.termAt(info.index()) == info.term();
   if (agrees) commitTo(info.index());
   const bool known = info.index() <= m_commit;
   if (!known) {
@@ -309,7 +313,7 @@
     m_output.append.clear();
     m_output.committed.clear();
     m_output.install = message.snapshot();
-    persistHard();
+    persistHardState();
   }
   replyToAppend(message, true, info.index());
 }
@@ -337,7 +341,7 @@
 }
 
 void Replica::synced(LogIndex index, Term term) {
-  if (index > m_log.lastIndex() || !m_log.knows(index) || m_log.termAt(index) != term) return;
+  if (index > m_log.lastIndex() || !m_log.hasTermAt(index) || m_log.termAt(index) != term) return;
   m_syncedIndex = std::max(m_syncedIndex, index);
   if (isLeader()) advanceCommit();
 }
@@ -349,39 +353,39 @@
 
 void Replica::replicateTo(ReplicaId id, Time now, bool heartbeat) {
   Peer& peer = m_peers.at(id);
-  const bool stuck = peer.inFlight > 0 && now > peer.progressed + m_options.heartbeat * internal::ResendHeartbeats;
+  const bool stuck = peer.inFlight > 0 && now > peer.lastProgress + m_options.heartbeat * internal::ResendHeartbeats;
   if (heartbeat && stuck) {
     peer.inFlight = 0;
     peer.next = peer.match + 1;
-    peer.progressed = now;
+    peer.lastProgress = now;
   }
-  const bool waits = peer.inFlight >= internal::MaxInFlight || now < peer.snapshotUntil;
+  const bool windowClosed = peer.inFlight >= internal::MaxInFlight || now < peer.snapshotUntil;
   const bool snapshotNeeded = peer.next < m_log.firstIndex() && !peer.diskId.empty() && now >= peer.snapshotUntil;
-  const bool hasNews = peer.next <= m_log.lastIndex() && !waits && (!peer.probing || snapshotNeeded);
-  if (!hasNews && !heartbeat) return;
-  if (snapshotNeeded && hasNews) {
+  const bool hasDataToSend = peer.next <= m_log.lastIndex() && !windowClosed && (!peer.probing || snapshotNeeded);
+  if (!hasDataToSend && !heartbeat) return;
+  if (snapshotNeeded && hasDataToSend) {
     peer.probing = false;
-    schema::ReplicaMessage message = make(schema::InstallSnapshot, id);
+    schema::ReplicaMessage message = makeMessage(schema::InstallSnapshot, id);
     *message.mutable_snapshot() = m_log.snapshot();
     message.set_sent_us(static_cast<std::uint64_t>(now.time_since_epoch().count()));
     peer.next = m_log.firstIndex();
     peer.snapshotUntil = now + m_options.heartbeat * internal::SnapshotHeartbeats;
-    peer.progressed = now;
+    peer.lastProgress = now;
     send(std::move(message));
     return;
   }
-  schema::ReplicaMessage message = make(schema::Append, id);
+  schema::ReplicaMessage message = makeMessage(schema::Append, id);
   message.set_sent_us(static_cast<std::uint64_t>(now.time_since_epoch().count()));
   LogIndex previous = std::max(peer.next, m_log.firstIndex()) - 1;
   previous = std::min(previous, m_log.lastIndex());
   message.set_prev_index(previous);
   message.set_prev_term(m_log.termAt(previous));
-  if (hasNews && peer.next >= m_log.firstIndex()) {
+  if (hasDataToSend && peer.next >= m_log.firstIndex()) {
     for (schema::LogEntry& entry : m_log.slice(peer.next, m_log.lastIndex(), internal::MaxAppendBytes)) {
       peer.next = entry.index() + 1;
       *message.add_entries() = std::move(entry);
     }
-    if (peer.inFlight == 0) peer.progressed = now;
+    if (peer.inFlight == 0) peer.lastProgress = now;
     ++peer.inFlight;
   }
   send(std::move(message));
@@ -392,14 +396,15 @@
   if (!isLeader() || found == m_peers.end()) return;
   Peer& peer = found->second;
   if (!acceptDisk(message, peer, now)) return;
-  // A sign of life renews the lease; it does not count as one of a replica that can hold what is committed.
-  peer.acknowledged = std::max(peer.acknowledged, Time(Duration(message.sent_us())));
+  // An early contact reply renews the leader lease. It does not count as contact with a replica that can store entries.
+  peer.acknowledgedSend = std::max(peer.acknowledgedSend, Time(Duration(message.sent_us())));
   if (message.contact()) return;
-  reviewMembers(message);
-  peer.heard = now;
+  registerPeerDisk(message);
+  peer.lastContact = now;
   if (peer.inFlight > 0) --peer.inFlight;
   if (!message.ok()) {
-    // A refusal of another append than the one being probed is old news; answering it too would multiply messages.
+    // A refusal of another append than the current probe is stale. Sending another probe for it would multiply
+    // messages.
     const bool stale = peer.probing && message.prev_index() + 1 != peer.next;
     if (now < peer.snapshotUntil || stale) return;
     peer.probing = true;
@@ -409,7 +414,7 @@
   } else if (message.match() > peer.match && message.match() <= m_log.lastIndex()) {
     peer.match = message.match();
     peer.next = std::max(peer.next, peer.match + 1);
-    peer.progressed = now;
+    peer.lastProgress = now;
     peer.snapshotUntil = Time{};
     advanceCommit();
   }
@@ -419,7 +424,8 @@
   if (m_handOverUntil) continueHandOver(now);
 }
 
-/** Follows a change of the peer's disk; an answer from a disk that was replaced is refused. */
+/** Checks the disk that an answer comes from, and resets the state of the peer if its disk is new.
+ * \returns false if the disk was replaced or retired, so that its answer must be ignored */
 bool Replica::acceptDisk(const schema::ReplicaMessage& message, Peer& peer, Time now) {
   const auto& retired = members().retired_disks();
   const bool isRetired = std::find(retired.begin(), retired.end(), message.disk_id()) != retired.end();
@@ -432,21 +438,21 @@
 }
 
 void Replica::advanceCommit() {
-  std::vector<LogIndex> held;
+  std::vector<LogIndex> matchIndexes;
   for (const schema::Member& member : members().members()) {
     if (!member.voter()) continue;
     if (member.id() == m_options.id) {
-      held.push_back(m_syncedIndex);
+      matchIndexes.push_back(m_syncedIndex);
       continue;
     }
     const auto found = m_peers.find(member.id());
     const bool counts = found != m_peers.end() && isVoter(member.id(), found->second.diskId);
-    held.push_back(counts ? found->second.match : 0);
+    matchIndexes.push_back(counts ? found->second.match : 0);
   }
-  if (held.empty()) return;
-  std::sort(held.begin(), held.end(), std::greater<>());
-  const LogIndex agreed = held[quorum() - 1];
-  if (agreed > m_commit && m_log.termAt(agreed) == m_hard.term()) commitTo(agreed);
+  if (matchIndexes.empty()) return;
+  std::sort(matchIndexes.begin(), matchIndexes.end(), std::greater<>());
+  const LogIndex quorumMatch = matchIndexes[quorum() - 1];
+  if (quorumMatch > m_commit && m_log.termAt(quorumMatch) == m_hard.term()) commitTo(quorumMatch);
 }
 
 LogIndex Replica::matchOf(ReplicaId peer) const {
@@ -465,7 +471,7 @@
     }
     const auto found = m_peers.find(member.id());
     const bool counts = found != m_peers.end() && isVoter(member.id(), found->second.diskId);
-    times.push_back(counts ? found->second.acknowledged : Time{});
+    times.push_back(counts ? found->second.acknowledgedSend : Time{});
   }
   if (times.empty()) return Time{};
   std::sort(times.begin(), times.end(), std::greater<>());
--- a/Courseloom/src/Replication/Replica.h
+++ b/Courseloom/src/Replication/Replica.h
@@ -13,79 +13,96 @@
 namespace courseloom {
 
 /** \class Replica
- * \brief One replica of the log, after Raft (Ongaro, "Consensus: Bridging Theory and Practice", 2014): pre-vote and
- * check-quorum (chapter 9.6, 6.2), leader lease (6.4.1), hand-over (3.10), single member changes (4.1), snapshots (5).
+ * \brief One replica of the log, after Raft (Ongaro, "Consensus: Bridging Theory and Practice", 2014).
  *
- * A plain class without clock, socket, file or thread: each call takes the time, and takeOutput() tells what to do.
- * Beyond Raft, a member is a replica number together with the identity of its disk. A vote or an acknowledgement counts
- * only with the identity that the members name, so that a wiped disk has no say; the leader replaces it by a learner,
- * catches it up and promotes it.
+ * Implements pre-vote and check-quorum (chapters 9.6 and 6.2), the leader lease (6.4.1), leadership transfer (3.10),
+ * single-server membership changes (4.1) and snapshots (5).
+ *
+ * The class uses no clock, socket, file or thread: calls receive the current time, and takeOutput() returns the actions
+ * that the caller has to perform.
+ * In addition to Raft, a member is identified by its replica number and the identity of its disk. A vote or an
+ * acknowledgement counts only if it carries the disk identity listed in the members, so a replica with a wiped disk has
+ * no vote. The leader adds the new disk as a learner, brings its log up to date and promotes it to a voter.
  * \sa ReplicaOutput, LogStore
  */
 class Replica {
  public:
+  /** \param restored state that was read from the disk */
   Replica(ReplicaOptions options, ReplicaState restored, Time now);
 
-  /** Lets time pass: elections, heartbeats, check-quorum. Call at least once a heartbeat. */
+  /** Performs the actions that depend on time: elections, heartbeats, check-quorum, leadership transfer and the removal
+   * of silent members. Call it at least once per heartbeat interval. */
   void tick(Time now);
-  /** Takes one message in. \returns false if it was refused: wrong cluster or receiver, impossible content */
+  /** Receives one message. \returns false if it was refused for a wrong cluster, a wrong receiver or impossible content
+   */
   bool receive(const schema::ReplicaMessage& message, Time now);
-  /** Proposes one command. \returns its index, or nothing if this replica may not propose */
+  /** Appends one command to the log of the leader. \returns its index, or nothing if this replica is not the leader or
+   * is transferring leadership */
   std::optional<LogIndex> propose(std::string payload);
-  /** Says that all output up to and including an index of a term is synced on this disk. */
+  /** Notifies the replica that its disk has synced all entries up to and including this index, whose entry has this
+   * term. Ignored if the log no longer has this entry. */
   void synced(LogIndex index, Term term);
-  /** Says whether the disk is writing; meanwhile answers that wait for it are preceded by signs of life. */
+  /** Notifies the replica whether a disk write is under way. During a write, a follower confirms contact to the leader
+   * ahead of the answers that wait for the write. */
   void setStoring(bool storing) { m_storing = storing; }
-  /** Says that the state machine has applied everything up to an index. */
+  /** Notifies the replica that the state machine has applied all entries up to and including an index. */
   void applied(LogIndex index) { m_applied = index; }
-  /** Begins to hand leadership to the most advanced voter; no proposals are taken until that ends. */
+  /** Starts a leadership transfer to a voter whose log is complete. Proposals are refused until the transfer ends, at
+   * the latest after one election timeout. No effect on a replica that is not the leader or is the only voter. */
   void handOver(Time now);
-  /** Takes a replica in that asks to join; the leader then finds out what its disk holds. */
+  /** Adds a replica that asks to join as a peer; the leader then determines the state of its log. No effect on a
+   * replica that is not the leader, or if the peer is known. */
   void addPeer(ReplicaId id, Time now);
-  /** \returns when the leader was last heard; a leader hears itself. */
-  Time leaderHeard(Time now) const { return isLeader() ? now : m_leaderHeard; }
-  /** Drops the log that a snapshot covers. */
+  /** \returns time of the last contact with the leader: `now` on the leader itself. Before the first contact it
+   * is the start time of this replica, or zero without ReplicaMechanisms::waitAfterStart. */
+  Time leaderHeard(Time now) const { return isLeader() ? now : m_lastLeaderContact; }
+  /** Replaces the snapshot and removes the entries that it covers. Ignored if the snapshot is not newer than the
+   * present one or covers uncommitted entries. */
   void compact(schema::Snapshot snapshot);
-  /** \returns what is to be done since the last call. */
+  /** \returns the actions that have accumulated since the last call. */
   ReplicaOutput takeOutput();
-  /** \returns the messages that need no sync, so that a slow disk does not hold back heartbeats. */
+  /** \returns and removes from the output the messages that need no sync, so that a slow disk does not delay
+   * heartbeats. */
   std::vector<schema::ReplicaMessage> takeMessages();
   const schema::HardState& hardState() const { return m_hard; }
 
   ReplicaRole role() const { return m_role; }
   bool isLeader() const { return m_role == ReplicaRole::Leader; }
-  /** \returns whether reads may be answered from the applied state: leader, lease held, and the
-   * first entry of its own term applied, so that everything that former leaders acknowledged is in the state. */
+  /** \returns whether reads may be answered from the applied state: this replica is the leader, has a valid lease and
+   * has applied the first entry of its own term, so that the state contains everything that former leaders
+   * acknowledged. */
   bool canRead(Time now) const;
   Term term() const { return m_hard.term(); }
-  /** \returns the leader of this term as far as known; 0 if none. */
+  /** \returns the leader of the current term; 0 if it is unknown. */
   ReplicaId leader() const { return m_leader; }
   LogIndex commitIndex() const { return m_commit; }
   LogIndex lastIndex() const { return m_log.lastIndex(); }
   const schema::Members& members() const { return m_log.members(); }
   bool isVoter() const { return isVoter(m_options.id, m_options.diskId); }
-  /** \returns the index up to which a peer is known to hold the log. */
+  /** \returns the last index up to which a peer is known to store the log (on this replica: the last synced index); 0
+   * if the peer is unknown. */
   LogIndex matchOf(ReplicaId peer) const;
   const ReplicaLog& log() const { return m_log; }
 
  private:
+  /** State of another replica, as the leader knows it. */
   struct Peer {
-    std::string diskId;
-    LogIndex match = 0;
-    LogIndex next = 1;
-    unsigned inFlight = 0;
-    bool probing = false;  ///< its log differs: one empty append at a time until they agree
-    Time heard{};          ///< when its last answer came
-    Time acknowledged{};   ///< when the newest message it has answered was sent
-    Time progressed{};     ///< when match last grew or a resend began
-    Time snapshotUntil{};  ///< a snapshot is on its way; refusals before this are expected
+    std::string diskId;       ///< disk of its last answer; empty before the first answer
+    LogIndex match = 0;       ///< its log is known to agree up to this index
+    LogIndex next = 1;        ///< index of the next entry to send
+    unsigned inFlight = 0;    ///< unanswered appends with entries
+    bool probing = false;     ///< its log differs: send one empty append at a time until the logs agree
+    Time lastContact{};       ///< when its last answer arrived, other than an early contact reply
+    Time acknowledgedSend{};  ///< when the newest message that it has answered was sent
+    Time lastProgress{};      ///< when match last grew or sending started or restarted
+    Time snapshotUntil{};     ///< a snapshot is being transferred; refusals until this time are expected
   };
 
   bool isVoter(ReplicaId id, const std::string& diskId) const;
   std::size_t voters() const { return voterCount(members()); }
   std::size_t quorum() const { return voters() / 2 + 1; }
   Duration randomTimeout();
-  schema::ReplicaMessage make(schema::MessageKind kind, ReplicaId to) const;
+  schema::ReplicaMessage makeMessage(schema::MessageKind kind, ReplicaId to) const;
   void send(schema::ReplicaMessage message) { m_output.messages.push_back(std::move(message)); }
   void sendAfterSync(schema::ReplicaMessage message) { m_output.messagesAfterSync.push_back(std::move(message)); }
 
@@ -93,16 +110,16 @@
   void startPreVote(Time now);
   void startElection(Time now, bool forced);
   void becomeLeader(Time now);
-  void askForVotes(schema::MessageKind kind, Term term, bool forced);
+  void requestVotes(schema::MessageKind kind, Term term, bool forced);
   void countVote(const schema::ReplicaMessage& message, Time now);
   bool logIsUpToDate(const schema::ReplicaMessage& message) const;
-  bool hearsLeader(Time now) const;
+  bool hasLiveLeader(Time now) const;
 
   void onVoteRequest(const schema::ReplicaMessage& message, Time now);
   void onAppend(const schema::ReplicaMessage& message, Time now);
   void onAppendReply(const schema::ReplicaMessage& message, Time now);
   void onSnapshot(const schema::ReplicaMessage& message, Time now);
-  void replyThatLeaderIsHeard(const schema::ReplicaMessage& message, Time now);
+  void sendEarlyContact(const schema::ReplicaMessage& message, Time now);
   void replyToAppend(const schema::ReplicaMessage& message, bool ok, LogIndex match);
 
   void appendOwn(schema::LogEntry entry);
@@ -112,20 +129,20 @@
   void commitTo(LogIndex index);
   void checkQuorum(Time now);
   Time quorumAcknowledged(Time now) const;
-  void reviewMembers(const schema::ReplicaMessage& message);
+  void registerPeerDisk(const schema::ReplicaMessage& message);
   bool isLearner(ReplicaId id) const;
   void promoteLearner(ReplicaId id);
   bool acceptDisk(const schema::ReplicaMessage& message, Peer& peer, Time now);
   bool memberChangeAllowed() const;
-  bool hearsQuorumOf(const schema::Members& next) const;
-  const schema::Member* silentMember(bool voter, Duration patience, Time now) const;
+  bool hasQuorumContact(const schema::Members& next) const;
+  const schema::Member* silentMember(bool voter, Duration silenceLimit, Time now) const;
   const schema::Member* silentVoter(Time now) const;
   void demoteSurplusVoter(Time now);
-  void forgetSilentLearner(Time now);
+  void removeSilentLearner(Time now);
   std::set<ReplicaId> knownPeers() const;
   void changeMembers(schema::Members members);
   void continueHandOver(Time now);
-  void persistHard();
+  void persistHardState();
 
   ReplicaOptions m_options;
   schema::HardState m_hard;
@@ -137,13 +154,13 @@
   ReplicaId m_leader = 0;
   std::map<ReplicaId, Peer> m_peers;
   std::set<ReplicaId> m_votes;
-  std::set<std::string> m_formerDisks;  ///< disks that this leader has seen replaced
-  LogIndex m_termStart = 0;             ///< first index of the leader's own term
+  std::set<std::string> m_formerDisks;  ///< disks that were replaced while this replica led
+  LogIndex m_termStart = 0;             ///< index of the first entry of the leader's own term
   Time m_electionDue{};
   Time m_heartbeatDue{};
-  Time m_leaderHeard{};
+  Time m_lastLeaderContact{};
   Time m_leaderSince{};
-  Time m_contactSent{};  ///< when a sign of life was last sent ahead of an answer
+  Time m_earlyContactSent{};  ///< when the last early contact reply was sent
   bool m_storing = false;
   std::optional<Time> m_handOverUntil;
   bool m_handOverSent = false;
@@ -152,9 +169,9 @@
   ReplicaOutput m_output;
 };
 
-/** \returns the identity that `--init` gives the disk of a founding member. */
+/** \returns the identity that `--init` assigns to the disk of a founding member. */
 std::string foundingDiskId(const std::string& clusterId, ReplicaId id);
-/** \returns the snapshot from which a founding member starts. */
+/** \returns the snapshot from which the founding members start: it lists them all as voters. */
 schema::Snapshot foundingSnapshot(const std::string& clusterId, const std::vector<ReplicaId>& ids);
 
 }  // namespace courseloom
--- a/Courseloom/src/Replication/ReplicaMembers.cpp
+++ b/Courseloom/src/Replication/ReplicaMembers.cpp
@@ -1,7 +1,7 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// The part of Replica that changes members and hands leadership over.
+// Membership changes and leadership transfer of Replica.
 
 #include <algorithm>
 
@@ -11,8 +11,8 @@
 
 namespace internal {
 namespace {
-/** A learner is forgotten after this many times the silence after which a voter loses its vote. */
-constexpr int ForgetAfterReplacements = 10;
+/** A learner is removed after this many times ReplicaOptions::replaceAfter without contact. */
+constexpr int LearnerRemovalFactor = 10;
 }  // namespace
 }  // namespace internal
 
@@ -41,41 +41,43 @@
   if (!isLeader() || id == m_options.id || m_peers.count(id) > 0) return;
   Peer& peer = m_peers[id];
   peer.next = m_log.lastIndex() + 1;
-  peer.heard = now;
+  peer.lastContact = now;
 }
 
-/** \returns whether enough voters of a configuration are within reach to commit it: one that is in the log counts at
- * once, and could not be taken back without them. */
-bool Replica::hearsQuorumOf(const schema::Members& next) const {
+/** \returns whether a quorum of the voters of a configuration was in contact within the election timeout. A
+ * configuration takes effect when it is appended to the log, so without a quorum of its own it could be neither
+ * committed nor reverted. */
+bool Replica::hasQuorumContact(const schema::Members& next) const {
   std::size_t voters = 0;
-  std::size_t heard = 0;
+  std::size_t reachable = 0;
   for (const schema::Member& member : next.members()) {
     if (!member.voter()) continue;
     ++voters;
     const auto peer = m_peers.find(member.id());
-    const bool lately = peer != m_peers.end() && peer->second.diskId == member.disk_id() &&
-                        m_now < peer->second.heard + m_options.electionTimeout;
-    heard += member.id() == m_options.id || lately ? 1 : 0;
+    const bool recentContact = peer != m_peers.end() && peer->second.diskId == member.disk_id() &&
+                               m_now < peer->second.lastContact + m_options.electionTimeout;
+    reachable += member.id() == m_options.id || recentContact ? 1 : 0;
   }
-  return heard >= voters / 2 + 1;
+  return reachable >= voters / 2 + 1;
 }
 
-/** \returns a member other than this leader, with or without a vote, that has been silent for longer than the patience,
- * or nothing. */
-const schema::Member* Replica::silentMember(bool voter, Duration patience, Time now) const {
+/** \returns a member other than this leader without contact for longer than the limit, or null if there is none or the
+ * replacement of members is disabled.
+ * \param voter whether to search the voters or the learners */
+const schema::Member* Replica::silentMember(bool voter, Duration silenceLimit, Time now) const {
   if (m_options.replaceAfter == Duration(0)) return nullptr;
   for (const schema::Member& member : members().members()) {
     const auto found = m_peers.find(member.id());
     if (member.voter() != voter || found == m_peers.end()) continue;
-    if (now > std::max(found->second.heard, m_leaderSince) + patience) return &member;
+    if (now > std::max(found->second.lastContact, m_leaderSince) + silenceLimit) return &member;
   }
   return nullptr;
 }
 
 const schema::Member* Replica::silentVoter(Time now) const { return silentMember(true, m_options.replaceAfter, now); }
 
-/** Takes the vote of a silent replica beyond the wanted ones, so that the voters that are left can lose another one.
- * Should it come back, it follows with the log that it has, like any other learner. */
+/** Demotes a silent voter to a learner while there are more voters than intended, so that the remaining voters tolerate
+ * the loss of another one. If the replica returns, it continues from its own log like any other learner. */
 void Replica::demoteSurplusVoter(Time now) {
   if (m_options.wantedVoters == 0 || voters() <= m_options.wantedVoters) return;
   const schema::Member* silent = silentVoter(now);
@@ -85,12 +87,12 @@
   for (schema::Member& member : *next.mutable_members()) {
     if (member.id() == id) member.set_voter(false);
   }
-  if (hearsQuorumOf(next)) changeMembers(std::move(next));
+  if (hasQuorumContact(next)) changeMembers(std::move(next));
 }
 
-/** Forgets a learner that has been silent for long, as one does whose instance is gone for good. */
-void Replica::forgetSilentLearner(Time now) {
-  const schema::Member* silent = silentMember(false, m_options.replaceAfter * internal::ForgetAfterReplacements, now);
+/** Removes a learner without contact for a long time, such as one whose instance no longer exists. */
+void Replica::removeSilentLearner(Time now) {
+  const schema::Member* silent = silentMember(false, m_options.replaceAfter * internal::LearnerRemovalFactor, now);
   if (silent == nullptr || !memberChangeAllowed()) return;
   const ReplicaId id = silent->id();
   schema::Members next;
@@ -102,8 +104,9 @@
   changeMembers(std::move(next));
 }
 
-/** A known replica with a new disk: its old disk is lost and leaves, the new one joins without a vote. */
-void Replica::reviewMembers(const schema::ReplicaMessage& message) {
+/** Adds the replica and disk that sent a message to the members, if they are not listed yet. The new disk joins without
+ * a vote. If the replica was a member with another disk, that disk is lost and becomes a retired disk. */
+void Replica::registerPeerDisk(const schema::ReplicaMessage& message) {
   if (!m_options.mechanisms.diskIdentity || !memberChangeAllowed()) return;
   schema::Members next = members();
   schema::Member* found = nullptr;
@@ -129,8 +132,8 @@
 
 void Replica::promoteLearner(ReplicaId id) {
   if (!memberChangeAllowed()) return;
-  // The successor votes before the silent one loses its vote: with fewer voters meanwhile, the loss of one more disk
-  // could leave a quorum that never comes back.
+  // The replacement becomes a voter before the silent voter loses its vote. With fewer voters in between, the loss of
+  // one more disk could make a quorum permanently impossible.
   const std::size_t wanted = m_options.wantedVoters + (silentVoter(m_now) == nullptr ? 0 : 1);
   if (m_options.wantedVoters > 0 && voters() >= wanted) return;
   schema::Members next = members();
@@ -138,12 +141,12 @@
     const bool learner = member.id() == id && !member.voter() && member.disk_id() == m_peers.at(id).diskId;
     if (!learner || m_peers.at(id).match < m_commit) continue;
     member.set_voter(true);
-    if (!hearsQuorumOf(next)) return;
+    if (!hasQuorumContact(next)) return;
     return changeMembers(std::move(next));
   }
 }
 
-// ---- hand-over and snapshots
+// ---- leadership transfer
 
 void Replica::handOver(Time now) {
   if (!isLeader() || voters() < 2) return;
@@ -156,7 +159,7 @@
   if (!m_handOverUntil) return;
   if (now > *m_handOverUntil) {
     m_handOverUntil.reset();
-    // The lease was given up when TimeoutNow left; it must not come back within this term.
+    // The leader gave up its lease when it sent TimeoutNow, and must not regain the lease in this term.
     if (m_handOverSent) becomeFollower(m_hard.term(), 0, now);
     return;
   }
@@ -166,7 +169,7 @@
     if (found == m_peers.end() || !isVoter(member.id(), found->second.diskId)) continue;
     if (found->second.match < m_log.lastIndex()) continue;
     m_handOverSent = true;
-    return send(make(schema::TimeoutNow, member.id()));
+    return send(makeMessage(schema::TimeoutNow, member.id()));
   }
 }
 
--- a/Courseloom/src/Replication/ReplicaTypes.h
+++ b/Courseloom/src/Replication/ReplicaTypes.h
@@ -17,37 +17,41 @@
 using Term = std::uint64_t;
 
 /** \class ReplicaMechanisms
- * \brief Protections that a proof can switch off to show that it fails without them; all on in production.
+ * \brief Protocol mechanisms that a test can switch off to show that its check fails without them. All are on in
+ * production.
  */
 struct ReplicaMechanisms {
-  bool diskIdentity = true;         ///< a vote or acknowledgement counts only from the disk that the members name
-  bool preVote = true;              ///< ask before a term is raised
-  bool checkQuorum = true;          ///< a leader that a quorum has not answered steps down
-  bool contactWhileStoring = true;  ///< a follower whose disk is busy says at once that it hears the leader
-  bool waitAfterStart = true;       ///< a restarted replica grants no vote until an election timeout has passed
+  bool diskIdentity = true;         ///< votes and acknowledgements count only from the disk listed in the members
+  bool preVote = true;              ///< hold a pre-vote before raising the term
+  bool checkQuorum = true;          ///< a leader without answers from a quorum steps down
+  bool contactWhileStoring = true;  ///< a follower answers the leader before its disk write completes
+  bool waitAfterStart = true;       ///< a restarted replica grants no vote for one election timeout
 };
 
 /** \class ReplicaOptions
- * \brief What a replica is told at its start.
+ * \brief Configuration of a replica, fixed at its start.
  */
 struct ReplicaOptions {
   std::string clusterId;
   ReplicaId id = 0;
   std::string diskId;
-  std::vector<ReplicaId> peers;  ///< replicas that the settings list; a wiped one is found by its answers
+  /** Replicas listed in the settings. A leader also contacts those that are not members, since a replica with a wiped
+   * disk is detected by its answers. */
+  std::vector<ReplicaId> peers;
   Duration heartbeat = milliseconds(100);
-  Duration electionTimeout = milliseconds(600);  ///< randomised up to twice this
-  /** A voter that was silent for this long loses its vote to a replica that has joined and caught up; zero is never. */
+  Duration electionTimeout = milliseconds(600);  ///< the time used is random, between this and twice this
+  /** Time without contact after which a voter loses its vote to a replica that has joined and caught up. Zero disables
+   * the replacement. */
   Duration replaceAfter{};
-  /** Voters that there should be: no learner is promoted beyond this number, and a silent voter beyond it loses its
-   * vote; zero is no limit. */
+  /** Intended number of voters. No learner is promoted beyond this number, except to replace a silent voter. While
+   * there are more voters, a silent one loses its vote. Zero means no limit. */
   std::size_t wantedVoters = 0;
   std::uint64_t seed = 1;
   ReplicaMechanisms mechanisms;
 };
 
 /** \class ReplicaState
- * \brief What a replica finds on its disk.
+ * \brief State of a replica as read from its disk.
  */
 struct ReplicaState {
   schema::HardState hard;
@@ -56,14 +60,16 @@
 };
 
 /** \class ReplicaOutput
- * \brief Actions to perform, in this order: send `messages`; store `hard`, `install` and `append` and sync; call
- * Replica::synced and send `messagesAfterSync`; apply `install` and `committed` to the state.
+ * \brief Actions that the caller of Replica has to perform.
+ *
+ * Perform them in this order: send `messages`; store `hard`, `install` and `append` and sync the disk; call
+ * Replica::synced and send `messagesAfterSync`; apply `install` and `committed` to the state machine.
  */
 struct ReplicaOutput {
   std::vector<schema::ReplicaMessage> messages;
   std::optional<schema::HardState> hard;
   std::optional<schema::Snapshot> install;
-  std::vector<schema::LogEntry> append;  ///< replaces whatever is stored from the first one's index on
+  std::vector<schema::LogEntry> append;  ///< replaces all stored entries from the index of its first entry on
   std::vector<schema::ReplicaMessage> messagesAfterSync;
   std::vector<schema::LogEntry> committed;
 
@@ -71,7 +77,7 @@
   bool empty() const { return messages.empty() && !needsSync() && messagesAfterSync.empty() && committed.empty(); }
 };
 
-/** The part a replica plays. */
+/** Role of a replica in the current term. A PreCandidate holds a pre-vote, a Candidate an election. */
 enum class ReplicaRole : std::uint8_t { Follower, PreCandidate, Candidate, Leader };
 
 }  // namespace courseloom
