--- a/Courseloom/src/Membership/ControlClient.cpp
+++ b/Courseloom/src/Membership/ControlClient.cpp
@@ -17,21 +17,22 @@
 
 namespace internal {
 namespace {
-/** A replica that said that it does not lead is not gone to on another's word for this long: about ten tries. Replicas
- * that were cut off together name each other, and a client that believed them would never try the others. */
-constexpr Duration RefusalHolds = milliseconds(600);
-/** Interval at which a node that uses a relay looks whether the replicas answer again. */
+/** Time for which hints to a replica are ignored after this replica answered that it is not the leader: about ten
+ * attempts. Replicas that were cut off together name each other as the leader, and a client that followed their hints
+ * would never try the other replicas. */
+constexpr Duration RefusalValidity = milliseconds(600);
+/** Minimum interval between probes for a replica that answers directly, while a relay is in use. */
 constexpr Duration ProbeInterval = milliseconds(500);
-constexpr Duration ProbeLimit = milliseconds(300);
+constexpr Duration ProbeTimeout = milliseconds(300);
 constexpr const char* PeerPrefix = "replica ";
 
-/** \returns whether another replica may do better. */
-bool is_elsewhere(FailureCode code) {
+/** \returns whether a call that failed in this way may succeed at another replica. */
+bool is_retriable_elsewhere(FailureCode code) {
   return code == FailureCode::NoLeader || code == FailureCode::PeerUnreachable || code == FailureCode::PeerFailed;
 }
 
-/** \returns whether nothing came back at all, as from behind a cut. */
-bool is_silence(FailureCode code) { return code == FailureCode::PeerUnreachable || code == FailureCode::PeerFailed; }
+/** \returns whether there was no answer at all, as in a network partition. */
+bool is_no_answer(FailureCode code) { return code == FailureCode::PeerUnreachable || code == FailureCode::PeerFailed; }
 
 }  // namespace
 }  // namespace internal
@@ -51,28 +52,29 @@
 std::string replicaAddressOf(std::uint32_t id) { return boost::asio::ip::address_v4(id).to_string(); }
 
 ControlClient::ControlClient(boost::asio::io_context& io, const schema::ClusterSettings& cluster)
-    : m_io(io), m_seedPort(cluster.seed_rpc_port()), m_tryLimit(2 * milliseconds(cluster.election_timeout_ms())) {
+    : m_io(io), m_seedPort(cluster.seed_rpc_port()), m_attemptTimeout(2 * milliseconds(cluster.election_timeout_ms())) {
   for (const schema::ControlMember& member : cluster.members()) {
     m_configured.push_back({member.id(), std::make_shared<RpcClient>(io, member.address(), member.rpc_port()), Time{}});
   }
-  for (const schema::Seed& seed : cluster.seeds()) m_configured.push_back(make(replicaIdOf(seed.endpoint())));
+  for (const schema::Seed& seed : cluster.seeds()) m_configured.push_back(makePeer(replicaIdOf(seed.endpoint())));
   m_replicas = m_configured;
 }
 
-ControlClient::Replica ControlClient::make(std::uint32_t id) const {
+ControlClient::Peer ControlClient::makePeer(std::uint32_t id) const {
   return {id, std::make_shared<RpcClient>(m_io, replicaAddressOf(id), m_seedPort), Time{}};
 }
 
-ControlClient::Way ControlClient::current() const {
+ControlClient::Destination ControlClient::currentDestination() const {
   const std::lock_guard lock(m_mutex);
   if (m_viaRelay && !m_relays.empty()) return {m_relays[m_relay % m_relays.size()], true};
   return {m_replicas[m_current % m_replicas.size()], false};
 }
 
-/** Where a relay is known, silence is not waited for as long: another election timeout, in which a leader is found. */
-Duration ControlClient::limitOf(const Way& way) const {
+/** \returns the time limit of one attempt: two election timeouts. If relays are known, an attempt at a replica is
+ * limited to one election timeout, in which a leader is elected. */
+Duration ControlClient::timeoutOf(const Destination& destination) const {
   const std::lock_guard lock(m_mutex);
-  return way.relayed || m_relays.empty() ? m_tryLimit : m_tryLimit / 2;
+  return destination.relayed || m_relays.empty() ? m_attemptTimeout : m_attemptTimeout / 2;
 }
 
 bool ControlClient::relayed() const {
@@ -82,37 +84,37 @@
 
 void ControlClient::setRelays(const std::vector<std::uint32_t>& ids) {
   const std::lock_guard lock(m_mutex);
-  const auto isSame = [](const Replica& relay, std::uint32_t id) { return relay.id == id; };
+  const auto isSame = [](const Peer& relay, std::uint32_t id) { return relay.id == id; };
   if (m_seedPort == 0 || std::equal(m_relays.begin(), m_relays.end(), ids.begin(), ids.end(), isSame)) return;
-  std::vector<Replica> next;
-  for (const std::uint32_t id : ids) next.push_back(knownOrNew(m_relays, id));
-  // The one in use stays in use if it is still named.
+  std::vector<Peer> next;
+  for (const std::uint32_t id : ids) next.push_back(findOrMake(m_relays, id));
+  // The relay in use stays in use if the new list contains it.
   const std::uint32_t now = m_relays.empty() ? 0 : m_relays[m_relay % m_relays.size()].id;
-  const auto same = std::find_if(next.begin(), next.end(), [now](const Replica& r) { return r.id == now; });
+  const auto same = std::find_if(next.begin(), next.end(), [now](const Peer& r) { return r.id == now; });
   m_relay = same == next.end() ? 0 : static_cast<std::size_t>(same - next.begin());
   m_relays = std::move(next);
 }
 
-/** A peer that answers after another one did is stayed with; connections to those that were asked on the way to it
- * would burden them for nothing. */
-void ControlClient::leaveOthers(const Way& way) {
+/** Closes idle connections to all other peers if the answering peer differs from the one that answered last. The client
+ * stays with the new peer, so connections to peers tried before it would burden these for nothing. */
+void ControlClient::closeOtherConnections(const Destination& destination) {
   std::vector<std::shared_ptr<RpcClient>> others;
   {
     const std::lock_guard lock(m_mutex);
-    if (std::exchange(m_servedBy, way.peer.id) == way.peer.id) return;
-    for (const std::vector<Replica>* peers : {&m_replicas, &m_relays}) {
-      for (const Replica& peer : *peers) {
-        if (peer.client != way.peer.client) others.push_back(peer.client);
+    if (std::exchange(m_lastAnsweredBy, destination.peer.id) == destination.peer.id) return;
+    for (const std::vector<Peer>* peers : {&m_replicas, &m_relays}) {
+      for (const Peer& peer : *peers) {
+        if (peer.client != destination.peer.client) others.push_back(peer.client);
       }
     }
   }
   for (const std::shared_ptr<RpcClient>& other : others) other->closeIfIdle();
 }
 
-/** While a relay serves, the replicas are tried beside it. */
-void ControlClient::worked(const Way& way) {
-  leaveOthers(way);
-  if (!way.relayed) return;
+/** Handles an answer. While a relay is in use, a replica is probed directly from time to time. */
+void ControlClient::onSuccess(const Destination& destination) {
+  closeOtherConnections(destination);
+  if (!destination.relayed) return;
   const std::lock_guard lock(m_mutex);
   const Time now = BootClock::now();
   if (m_probing || now < m_probedAt + internal::ProbeInterval) return;
@@ -121,9 +123,9 @@
   boost::asio::co_spawn(m_io, probeDirect(m_replicas[m_current % m_replicas.size()]), boost::asio::detached);
 }
 
-Awaitable<void> ControlClient::probeDirect(Replica replica) {
+Awaitable<void> ControlClient::probeDirect(Peer replica) {
   Result<schema::Empty> reply =
-      co_await replica.client->call<schema::Empty>("ping", schema::Empty(), BootClock::now() + internal::ProbeLimit);
+      co_await replica.client->call<schema::Empty>("ping", schema::Empty(), BootClock::now() + internal::ProbeTimeout);
   const std::lock_guard lock(m_mutex);
   m_probing = false;
   if (reply) {
@@ -134,36 +136,38 @@
   }
 }
 
-/** Silence makes calls go through a relay; a relay that does not serve makes them go direct again. */
-void ControlClient::failed(const Way& way, const Failure& failure) {
-  if (!internal::is_elsewhere(failure.code)) return;
-  if (!way.relayed) {
-    moveOn(way.peer.id, failure);
+/** Handles a failed attempt. If a replica did not answer, later calls go through a relay. If a relay failed, later
+ * calls go to the replicas again. */
+void ControlClient::onFailure(const Destination& destination, const Failure& failure) {
+  if (!internal::is_retriable_elsewhere(failure.code)) return;
+  if (!destination.relayed) {
+    switchReplica(destination.peer.id, failure);
     const std::lock_guard lock(m_mutex);
-    if (!internal::is_silence(failure.code) || m_viaRelay || m_relays.empty()) return;
+    if (!internal::is_no_answer(failure.code) || m_viaRelay || m_relays.empty()) return;
     m_viaRelay = true;
     logEvent(schema::RelayUsed, {{"relay", m_relays[m_relay % m_relays.size()].client->peer()},
-                                 {"replica", way.peer.client->peer()},
+                                 {"replica", destination.peer.client->peer()},
                                  {"detail", failure.detail}});
     return;
   }
   const std::lock_guard lock(m_mutex);
-  if (m_viaRelay) logEvent(schema::RelayLeft, {{"relay", way.peer.client->peer()}, {"detail", failure.detail}});
+  if (m_viaRelay) logEvent(schema::RelayLeft, {{"relay", destination.peer.client->peer()}, {"detail", failure.detail}});
   m_viaRelay = false;
   ++m_relay;
 }
 
-ControlClient::Replica ControlClient::knownOrNew(const std::vector<Replica>& known, std::uint32_t id) const {
-  const auto found = std::find_if(known.begin(), known.end(), [id](const Replica& peer) { return peer.id == id; });
-  return found == known.end() ? make(id) : *found;
+ControlClient::Peer ControlClient::findOrMake(const std::vector<Peer>& known, std::uint32_t id) const {
+  const auto found = std::find_if(known.begin(), known.end(), [id](const Peer& peer) { return peer.id == id; });
+  return found == known.end() ? makePeer(id) : *found;
 }
 
-/** Puts the named replicas first and those of the settings after them; the current one stays current. */
-void ControlClient::rebuild(const std::vector<std::uint32_t>& ids) {
+/** Rebuilds the list of replicas: the listed ones first, then those of the settings. The current replica stays current
+ * if it is still in the list. */
+void ControlClient::rebuildReplicas(const std::vector<std::uint32_t>& ids) {
   const std::uint32_t now = m_replicas[m_current % m_replicas.size()].id;
-  std::vector<Replica> next;
-  for (const std::uint32_t id : ids) next.push_back(knownOrNew(m_replicas, id));
-  for (const Replica& replica : m_configured) {
+  std::vector<Peer> next;
+  for (const std::uint32_t id : ids) next.push_back(findOrMake(m_replicas, id));
+  for (const Peer& replica : m_configured) {
     const bool named = std::find(ids.begin(), ids.end(), replica.id) != ids.end();
     if (!named) next.push_back(replica);
   }
@@ -178,7 +182,7 @@
   const std::lock_guard lock(m_mutex);
   if (m_seedPort == 0 || ids.empty() || ids == m_members) return;
   m_members = ids;
-  rebuild(ids);
+  rebuildReplicas(ids);
 }
 
 void ControlClient::setSeeds(const schema::ClusterSettings& cluster) {
@@ -186,28 +190,31 @@
   if (cluster.seeds_size() == 0) return;
   m_configured.clear();
   for (const schema::Seed& seed : cluster.seeds()) {
-    m_configured.push_back(knownOrNew(m_replicas, replicaIdOf(seed.endpoint())));
+    m_configured.push_back(findOrMake(m_replicas, replicaIdOf(seed.endpoint())));
   }
-  rebuild(m_members);
+  rebuildReplicas(m_members);
 }
 
-/** \returns whether calls go to the named replica now. */
+/** Makes the named leader the current replica, unless it has recently answered that it is not the leader or is unknown
+ * and cannot be found by number.
+ *
+ * \returns whether it is now the current replica */
 bool ControlClient::followHint(std::uint32_t leader, Time now) {
   for (std::size_t i = 0; i < m_replicas.size(); ++i) {
     if (m_replicas[i].id != leader) continue;
-    if (now < m_replicas[i].refusedAt + internal::RefusalHolds) return false;
+    if (now < m_replicas[i].refusedAt + internal::RefusalValidity) return false;
     m_current = i;
     return true;
   }
   if (m_seedPort == 0) return false;
-  m_replicas.push_back(make(leader));
+  m_replicas.push_back(makePeer(leader));
   m_current = m_replicas.size() - 1;
   return true;
 }
 
-void ControlClient::moveOn(std::uint32_t from, const Failure& failure) {
+void ControlClient::switchReplica(std::uint32_t from, const Failure& failure) {
   const std::lock_guard lock(m_mutex);
-  if (m_replicas[m_current % m_replicas.size()].id != from) return;  // another call has moved on already
+  if (m_replicas[m_current % m_replicas.size()].id != from) return;  // another call has already switched
   const Time now = BootClock::now();
   if (failure.code == FailureCode::NoLeader) m_replicas[m_current % m_replicas.size()].refusedAt = now;
   const std::optional<std::uint32_t> leader = replicaNamedBy(failure);
@@ -217,18 +224,18 @@
 
 template <class Reply, class Request>
 Awaitable<Result<Reply>> ControlClient::tryOnce(const std::string& method, const Request& request, Time deadline) {
-  const Way way = current();
-  // A call that the leader holds back on purpose says how long in its own message; give that on top.
-  Duration limit = limitOf(way);
-  if constexpr (requires { request.wait_ms(); }) limit += milliseconds(request.wait_ms());
-  const Time tryDeadline = std::min(deadline, BootClock::now() + limit);
-  Result<Reply> reply = co_await way.peer.client->template call<Reply>(method, request, tryDeadline);
+  const Destination destination = currentDestination();
+  // The request may allow the leader to delay its answer; this waiting time is added to the time limit.
+  Duration attemptTimeout = timeoutOf(destination);
+  if constexpr (requires { request.wait_ms(); }) attemptTimeout += milliseconds(request.wait_ms());
+  const Time tryDeadline = std::min(deadline, BootClock::now() + attemptTimeout);
+  Result<Reply> reply = co_await destination.peer.client->template call<Reply>(method, request, tryDeadline);
   if (reply) {
-    worked(way);
+    onSuccess(destination);
     co_return reply;
   }
   Failure failure = takeFailure(reply);
-  failed(way, failure);
+  onFailure(destination, failure);
   co_return fail(std::move(failure));
 }
 
@@ -241,12 +248,12 @@
     if (reply) co_return reply;
     last = takeFailure(reply);
     if (last.ran == Ran::Unknown) ran = Ran::Unknown;
-    if (!internal::is_elsewhere(last.code)) break;
+    if (!internal::is_retriable_elsewhere(last.code)) break;
     co_await sleepFor(LeaderRetryPause);
   }
-  // One try whose outcome is unknown makes the whole unknown, whatever the last one said.
+  // If the outcome of any attempt is unknown, the outcome of the call is unknown, whatever the last attempt returned.
   if (ran == Ran::Unknown) last.ran = Ran::Unknown;
-  if (last.retryAfterMs == 0) last.retryAfterMs = static_cast<std::uint32_t>(toMilliseconds(m_tryLimit));
+  if (last.retryAfterMs == 0) last.retryAfterMs = static_cast<std::uint32_t>(toMilliseconds(m_attemptTimeout));
   co_return fail(std::move(last));
 }
 
--- a/Courseloom/src/Membership/ControlClient.h
+++ b/Courseloom/src/Membership/ControlClient.h
@@ -13,17 +13,20 @@
 
 namespace courseloom {
 
-/** Before replicas are asked again of which none leads: a small part of an election. */
+/** Pause after a failed attempt before the replicas are tried again: a small part of the duration of an election. */
 inline constexpr Duration LeaderRetryPause = milliseconds(40);
 
 /** \class ControlClient
- * \brief Reaches the control leader: remembers it, follows its replicas' hints, tries the others until the deadline.
+ * \brief Sends calls to the control leader. It remembers the leader, follows hints of replicas to the leader, and tries
+ * other replicas until the deadline.
  *
- * A call may be sent again after an unknown outcome, so only calls that are safe to repeat go through here: commands
- * carry a command id or an opener, queries and watches change nothing. Safe from any thread.
+ * A call may be retried after an unknown outcome, so this class offers only calls that are safe to repeat: commands
+ * carry a command id or an opener, and queries and watches change nothing. The class is thread-safe.
  *
- * A node that is cut off from the replicas may still reach nodes that are not: where the leader has named relays, a
- * call that met silence goes through one of them, and goes direct again once a replica answers. \sa ControlRelay
+ * A node without contact to the replicas may still reach nodes that have it. If the leader has named relays and a
+ * replica does not answer, calls go through one of the relays until a replica answers a probe or the relay fails.
+ *
+ * \sa ControlRelay
  */
 class ControlClient {
  public:
@@ -32,79 +35,84 @@
   Awaitable<Result<schema::CommandReply>> command(schema::Command command, Time deadline);
   Awaitable<Result<schema::QueryReply>> query(schema::QueryRequest request, Time deadline);
   Awaitable<Result<schema::WatchReply>> watch(schema::WatchRequest request, Time deadline);
-  /** Not retried: the next question tells the node's state of then, and its lease counts from there. */
+  /** Like watch(), but makes a single attempt: the next request reports the state of the node at that time, and the
+   * lease counts from its sending. */
   Awaitable<Result<schema::WatchReply>> watchOnce(schema::WatchRequest request, Time deadline);
 
   Awaitable<Result<schema::QueueAnswer>> call(schema::QueueCall call, Time deadline);
-  /** Gives up sooner what surely did not run than what may have run: a doubt is asked again until there is an answer.
-   * \param giveUpAt when a call that surely did not run is given up \param deadline when any is */
+  /** Uses an earlier time limit for a call that certainly did not run. A call that may have run is retried until there
+   * is an answer or the deadline passes.
+   *
+   * \param giveUpAt end of the attempts while the call certainly did not run
+   * \param deadline end of the attempts in any case */
   Awaitable<Result<schema::QueueAnswer>> call(schema::QueueCall call, Time giveUpAt, Time deadline);
-  /** Not retried: the next report brings newer news. */
+  /** Makes a single attempt, since the next report contains newer data. */
   Awaitable<Result<schema::AttendReply>> attend(schema::AttendRequest request, Time deadline);
 
-  /** Takes the replicas that the leader names; those of the settings stay as the last resort. */
+  /** Sets the replicas listed by the leader. Those of the settings remain as fallback. */
   void setMembers(const std::vector<std::uint32_t>& ids);
-  /** Takes the nodes that relay calls; without any, all calls go direct. */
+  /** Sets the nodes that relay calls. With an empty list all calls go to the replicas directly. */
   void setRelays(const std::vector<std::uint32_t>& ids);
-  /** \returns whether calls go through a relay now. */
+  /** \returns whether calls currently go through a relay. */
   bool relayed() const;
-  /** Takes the seeds of changed settings as the new last resort. */
+  /** Sets the seeds of changed settings as the new fallback. No effect if the settings have no seeds. */
   void setSeeds(const schema::ClusterSettings& cluster);
 
  private:
-  struct Replica {
+  /** A replica or a relay. */
+  struct Peer {
     std::uint32_t id = 0;
     std::shared_ptr<RpcClient> client;
-    Time refusedAt{};  ///< when it last said that it does not lead
+    Time refusedAt{};  ///< when it last answered that it is not the leader
   };
 
   template <class Reply, class Request>
   Awaitable<Result<Reply>> callLeader(std::string method, Request request, Time giveUpAt, Time deadline);
   template <class Reply, class Request>
   Awaitable<Result<Reply>> tryOnce(const std::string& method, const Request& request, Time deadline);
-  /** One way to the leader: a replica, or a relay. */
-  struct Way {
-    Replica peer;
+  /** The peer that a call is sent to, and whether this peer is a relay. */
+  struct Destination {
+    Peer peer;
     bool relayed = false;
   };
-  Way current() const;
-  Duration limitOf(const Way& way) const;
-  void worked(const Way& way);
-  void leaveOthers(const Way& way);
-  void failed(const Way& way, const Failure& failure);
-  Awaitable<void> probeDirect(Replica replica);
-  /** Moves on after a failure: to the leader that the failure names, unless that one has just refused, or to the next
-   * replica. */
-  void moveOn(std::uint32_t from, const Failure& failure);
+  Destination currentDestination() const;
+  Duration timeoutOf(const Destination& destination) const;
+  void onSuccess(const Destination& destination);
+  void closeOtherConnections(const Destination& destination);
+  void onFailure(const Destination& destination, const Failure& failure);
+  Awaitable<void> probeDirect(Peer replica);
+  /** Changes the current replica after a failure: to the leader named in the failure, unless that replica has recently
+   * answered that it is not the leader, or else to the next replica. */
+  void switchReplica(std::uint32_t from, const Failure& failure);
   bool followHint(std::uint32_t leader, Time now);
-  Replica make(std::uint32_t id) const;
-  Replica knownOrNew(const std::vector<Replica>& known, std::uint32_t id) const;
-  void rebuild(const std::vector<std::uint32_t>& ids);
+  Peer makePeer(std::uint32_t id) const;
+  Peer findOrMake(const std::vector<Peer>& known, std::uint32_t id) const;
+  void rebuildReplicas(const std::vector<std::uint32_t>& ids);
 
   boost::asio::io_context& m_io;
   unsigned m_seedPort;
   mutable std::mutex m_mutex;
-  std::vector<Replica> m_replicas;
-  std::vector<Replica> m_configured;     ///< of the settings
-  std::vector<std::uint32_t> m_members;  ///< as the leader named them last
-  std::uint32_t m_servedBy = 0;          ///< peer that last answered
-  std::size_t m_current = 0;
-  std::vector<Replica> m_relays;
-  std::size_t m_relay = 0;  ///< the relay to be used next
-  bool m_viaRelay = false;  ///< the replicas were silent
+  std::vector<Peer> m_replicas;
+  std::vector<Peer> m_configured;        ///< replicas of the settings
+  std::vector<std::uint32_t> m_members;  ///< replicas last listed by the leader
+  std::uint32_t m_lastAnsweredBy = 0;    ///< peer that last answered
+  std::size_t m_current = 0;             ///< index of the current replica, modulo the number of replicas
+  std::vector<Peer> m_relays;
+  std::size_t m_relay = 0;  ///< index of the relay in use, modulo the number of relays
+  bool m_viaRelay = false;  ///< calls go through a relay, since a replica did not answer
   bool m_probing = false;
-  Time m_probedAt{};  ///< when a replica was last tried beside a relay
-  Duration m_tryLimit;
+  Time m_probedAt{};  ///< when a replica was last probed while a relay was in use
+  Duration m_attemptTimeout;
 };
 
-/** \returns the peer text by which a replica names the leader: "replica 2". */
+/** \returns the text by which a failure names the leader in its `peer`, such as "replica 2". */
 std::string replicaPeer(std::uint32_t id);
-/** \returns the leader that a failure names, or nothing. */
+/** \returns the id of the leader named in a failure, or nothing. */
 std::optional<std::uint32_t> replicaNamedBy(const Failure& failure);
-/** \returns the number of a replica that is found through seeds: its IPv4 number. \param endpoint IP number, or with
- * port */
+/** \returns the id of a replica that is found through seeds: its IPv4 address as a number.
+ * \param endpoint IPv4 address in dotted form, with or without a port */
 std::uint32_t replicaIdOf(const std::string& endpoint);
-/** \returns the IP number of a replica that is found through seeds. */
+/** \returns the IPv4 address, in dotted form, of a replica that is found through seeds. */
 std::string replicaAddressOf(std::uint32_t id);
 
 }  // namespace courseloom
--- a/Courseloom/src/Membership/ControlRelay.cpp
+++ b/Courseloom/src/Membership/ControlRelay.cpp
@@ -10,17 +10,22 @@
 namespace internal {
 namespace {
 
-/** Time for one call to be handed on; its sender gives up a little later. */
-constexpr Duration RelayLimit = milliseconds(500);
-/** Calls that are handed on at once: each of some 8 nodes has a report and a view under way all the time, and a few
- * submissions. A caller costs about 0.4 MB. */
-constexpr unsigned MaxRelaying = 32;
+/** Time limit for forwarding one call, in addition to the waiting time that the call requests. The limit of the caller
+ * is a little longer. */
+constexpr Duration RelayTimeout = milliseconds(500);
+/** Maximum number of calls that are forwarded concurrently. It allows for about 8 nodes, each of which always has one
+ * report and one view exchange in progress, and for a few submissions. Each calling node costs about 0.4 MB. */
+constexpr unsigned MaxActiveCalls = 32;
 
 }  // namespace
 }  // namespace internal
 
-ControlRelay::ControlRelay(boost::asio::io_context& io, const schema::ClusterSettings& cluster, InTouch inTouch)
-    : m_inTouch(std::move(inTouch)), m_port(cluster.seed_rpc_port()), m_control(io, cluster), m_server(io) {
+ControlRelay::ControlRelay(boost::asio::io_context& io, const schema::ClusterSettings& cluster,
+                           ContactCheck hasControlContact)
+    : m_hasControlContact(std::move(hasControlContact)),
+      m_port(cluster.seed_rpc_port()),
+      m_control(io, cluster),
+      m_server(io) {
   relay("attend", &ControlClient::attend);
   relay<schema::QueueCall, schema::QueueAnswer>("queue", &ControlClient::call);
   relay("watch", &ControlClient::watch);
@@ -29,16 +34,17 @@
 template <class Request, class Reply>
 void ControlRelay::relay(const std::string& method, Awaitable<Result<Reply>> (ControlClient::*call)(Request, Time)) {
   m_server.handle<Request>(method, [this, method, call](Request request, std::string) -> Awaitable<Result<Reply>> {
-    if (!m_inTouch()) co_return fail(Failure{FailureCode::NoLeader, Ran::No, method, "", "no way to control", 0});
-    if (m_relaying >= internal::MaxRelaying)
+    if (!m_hasControlContact())
+      co_return fail(Failure{FailureCode::NoLeader, Ran::No, method, "", "no way to control", 0});
+    if (m_activeCalls >= internal::MaxActiveCalls)
       co_return fail(Failure{FailureCode::NoLeader, Ran::No, method, "", "relays as much as it may", 0});
-    const Counted<unsigned> counted(m_relaying);
-    Duration limit = internal::RelayLimit;
-    if constexpr (requires { request.wait_ms(); }) limit += milliseconds(request.wait_ms());
+    const Counted<unsigned> counted(m_activeCalls);
+    Duration timeout = internal::RelayTimeout;
+    if constexpr (requires { request.wait_ms(); }) timeout += milliseconds(request.wait_ms());
     if constexpr (requires { request.set_relayed(true); }) request.set_relayed(true);
-    Result<Reply> reply = co_await (m_control.*call)(std::move(request), BootClock::now() + limit);
+    Result<Reply> reply = co_await (m_control.*call)(std::move(request), BootClock::now() + timeout);
     if (reply) co_return reply;
-    // Its sender is cut off, and must not follow a hint to a replica.
+    // The caller cannot reach the replicas, so the failure must not carry a hint to one of them.
     Failure failure = takeFailure(reply);
     failure.peer.clear();
     co_return fail(std::move(failure));
--- a/Courseloom/src/Membership/ControlRelay.h
+++ b/Courseloom/src/Membership/ControlRelay.h
@@ -11,36 +11,40 @@
 namespace courseloom {
 
 /** \class ControlRelay
- * \brief Hands calls of nodes that cannot reach control on to it, and its replies back.
+ * \brief Forwards calls to control for nodes that cannot reach it, and returns the replies.
+ *
+ * A relay makes no decisions and stores nothing. It calls only replicas and never another relay, so calls cannot loop.
+ * The receiver of a lease counts it from the time at which the request was sent, so the detour through a relay cannot
+ * extend a lease. Calls beyond a limit of concurrent calls are refused immediately, so that their callers can try
+ * another peer.
  *
- * It decides nothing and keeps nothing. It calls replicas only, never another relay, so that no call goes round. A
- * grant that comes through it is counted by its receiver from the sending of the request, so the way cannot lengthen
- * it. More calls at once than a node of this size bears are refused at once, so that their senders look elsewhere.
  * \sa ControlClient
  */
 class ControlRelay {
  public:
-  using InTouch = std::function<bool()>;
+  using ContactCheck = std::function<bool()>;
 
-  /** \param inTouch whether this node itself has reached control just now; otherwise calls are refused at once */
-  ControlRelay(boost::asio::io_context& io, const schema::ClusterSettings& cluster, InTouch inTouch);
-  /** Listens where other nodes look for relays. \returns the port in use */
+  /** \param hasControlContact returns whether this node currently has contact with control; calls are refused
+   * immediately while it has none */
+  ControlRelay(boost::asio::io_context& io, const schema::ClusterSettings& cluster, ContactCheck hasControlContact);
+  /** Listens for calls on the address and RPC port of the node. \returns the port in use */
   Result<unsigned> start(const schema::NodeSettings& node);
-  /** \returns the number by which others find this relay; 0 if they cannot. */
+  /** \returns the number by which other nodes find this relay, see replicaIdOf(); 0 before start() or if the relay does
+   * not listen on the port on which nodes expect relays. */
   std::uint32_t number() const { return m_number; }
-  /** Takes the replicas that the leader names. */
+  /** Sets the replicas listed by the leader. */
   void setMembers(const std::vector<std::uint32_t>& ids) { m_control.setMembers(ids); }
-  /** Takes the seeds of changed settings as the last resort. */
+  /** Sets the seeds of changed settings as fallback if no listed replica answers. */
   void setSeeds(const schema::ClusterSettings& cluster) { m_control.setSeeds(cluster); }
 
  private:
   template <class Request, class Reply>
   void relay(const std::string& method, Awaitable<Result<Reply>> (ControlClient::*call)(Request, Time));
 
-  InTouch m_inTouch;
-  unsigned m_port;  ///< where relays are looked for; 0 where nodes are not found by number
+  ContactCheck m_hasControlContact;
+  unsigned m_port;  ///< port on which nodes expect relays; 0 if nodes are not found by number
   std::uint32_t m_number = 0;
-  std::atomic<unsigned> m_relaying{0};  ///< calls under way
+  std::atomic<unsigned> m_activeCalls{0};  ///< calls in progress
   ControlClient m_control;
   RpcServer m_server;
 };
--- a/Courseloom/src/Membership/NodeTable.cpp
+++ b/Courseloom/src/Membership/NodeTable.cpp
@@ -13,9 +13,10 @@
          lhs.leaving() == rhs.leaving() && lhs.service() == rhs.service() && lhs.target() == rhs.target();
 }
 
-/** \returns whether a heartbeat was sent before one that has come already. Lives of an agent have rising numbers, and
- * so have the heartbeats of a life; without numbers they are taken as they come. */
-bool is_overtaken(const schema::NodeStatus& node, const schema::NodeStatus& known) {
+/** \returns whether a heartbeat was sent before the one that is recorded. The incarnation numbers of an agent rise, and
+ * so do the sequence numbers of the heartbeats within an incarnation. Heartbeats without a sequence number (0) and
+ * those of nodes other than agents are never stale. */
+bool is_stale(const schema::NodeStatus& node, const schema::NodeStatus& known) {
   if (node.role() != schema::AgentRole || node.sequence() == 0) return false;
   if (node.incarnation() != known.incarnation()) return node.incarnation() < known.incarnation();
   return node.sequence() < known.sequence();
@@ -26,7 +27,7 @@
 
 void NodeTable::heard(const schema::NodeStatus& node, Time now) {
   const auto found = m_nodes.find(node.name());
-  if (found != m_nodes.end() && internal::is_overtaken(node, found->second.status)) return;
+  if (found != m_nodes.end() && internal::is_stale(node, found->second.status)) return;
   const bool isAgent = node.role() == schema::AgentRole;
   const bool changed = found == m_nodes.end() || !internal::same_target(found->second.status, node);
   if (isAgent && changed) ++m_version;
@@ -35,7 +36,7 @@
 
 void NodeTable::expire(Time now) {
   for (auto node = m_nodes.begin(); node != m_nodes.end();) {
-    if (now < node->second.heard + m_lease) {
+    if (now < node->second.lastContact + m_lease) {
       ++node;
       continue;
     }
@@ -57,8 +58,8 @@
 }
 
 bool NodeTable::isLeaving(const schema::NodeStatus& node) const {
-  const bool leaves = m_leavingInstances.count(node.target()) > 0 || m_leavingInstances.count(node.name()) > 0;
-  return leaves || (node.role() == schema::AgentRole && m_drainedHalls.count(node.data_hall()) > 0);
+  const bool isListed = m_leavingInstances.count(node.target()) > 0 || m_leavingInstances.count(node.name()) > 0;
+  return isListed || (node.role() == schema::AgentRole && m_drainedHalls.count(node.data_hall()) > 0);
 }
 
 void NodeTable::clear() {
@@ -80,7 +81,7 @@
   std::vector<schema::NodeStatus> list;
   for (const auto& [name, entry] : m_nodes) {
     list.push_back(entry.status);
-    list.back().set_silent_ms(static_cast<std::uint32_t>(toMilliseconds(now - entry.heard)));
+    list.back().set_silent_ms(static_cast<std::uint32_t>(toMilliseconds(now - entry.lastContact)));
     if (isLeaving(entry.status)) list.back().set_leaving(true);
   }
   return list;
--- a/Courseloom/src/Membership/NodeTable.h
+++ b/Courseloom/src/Membership/NodeTable.h
@@ -14,38 +14,44 @@
 namespace courseloom {
 
 /** \class NodeTable
- * \brief The leader's soft state: which entries and agents are live, and the numbered list of targets made from it.
+ * \brief The leader's soft state of live entries and agents, and the versioned list of targets derived from it.
  *
- * Nothing here must survive: a new leader learns it again from the nodes' next heartbeats, so for one lease after it
- * took over it knows less. The platform's list of instances lags and is only a hint that a target is leaving.
+ * Nothing here is stored: a new leader rebuilds the table from the next heartbeats of the nodes, so the table may be
+ * incomplete for one lease after a change of leader. The platform's list of instances lags behind and serves only as a
+ * hint that a target is leaving.
  */
 class NodeTable {
  public:
+  /** \param lease time without heartbeats after which a node is removed */
   explicit NodeTable(Duration lease) : m_lease(lease) {}
 
-  /** Takes a heartbeat in, unless a later one of the node has come before it: that one's silence ends its place. */
+  /** Records a heartbeat, unless a later heartbeat of the same agent has already arrived. Such a stale heartbeat does
+   * not renew the lease of the node. */
   void heard(const schema::NodeStatus& node, Time now);
-  /** Forgets nodes that have been silent for longer than the lease. */
+  /** Removes the nodes whose last heartbeat is as old as the lease or older. */
   void expire(Time now);
-  /** Takes the platform's list of leaving instances. */
+  /** Sets the names of the instances that leave according to the platform. */
   void setLeavingInstances(std::set<std::string> names);
-  /** Takes the data halls that are drained; targets there are leaving until they are given back. */
+  /** Sets the drained data halls. Targets in these data halls count as leaving until the data hall is returned. */
   void setDrainedHalls(std::set<std::string> halls);
+  /** Removes all nodes. */
   void clear();
 
-  /** \returns a number that grows whenever the list of targets changes otherwise than in load. */
+  /** \returns the version of the list of targets. It grows with each change of the list, except changes of load. */
   std::uint64_t version() const { return m_version; }
-  /** \returns the agents, leaving ones marked. */
+  /** \returns the status of all live agents, with `leaving` set where isLeaving(). */
   std::vector<schema::NodeStatus> targets() const;
-  /** \returns all live nodes with the time since they were heard. */
+  /** \returns the status of all live nodes, with the time since the last heartbeat in `silent_ms` (milliseconds) and
+   * `leaving` set where isLeaving(). */
   std::vector<schema::NodeStatus> nodes(Time now) const;
-  /** \returns whether a node's target gets nothing new: the platform says that it leaves, or its hall is drained. */
+  /** \returns whether the target of a node must get no new work, because the platform lists the instance as leaving or
+   * the data hall of the agent is drained. The `leaving` field of the heartbeat itself is not considered. */
   bool isLeaving(const schema::NodeStatus& node) const;
 
  private:
   struct Entry {
     schema::NodeStatus status;
-    Time heard{};
+    Time lastContact{};
   };
 
   Duration m_lease;
--- a/Courseloom/src/Membership/RelayDirectory.h
+++ b/Courseloom/src/Membership/RelayDirectory.h
@@ -13,56 +13,56 @@
 namespace courseloom {
 
 /** \class RelayDirectory
- * \brief Names nodes their relays, so that those who are cut off do not all go to the same few.
+ * \brief Assigns relays to nodes, so that nodes without contact to control spread over the relays.
  *
- * Rendezvous hashing (Thaler and Ravishankar, 1998): each node has an order of its own among the relays, which a relay
- * that comes or goes changes only where it stands. What a node was told is kept and brought up to date by the relays
- * that have come since; it is worked out anew where one of those that it rests on has gone.
+ * Uses rendezvous hashing (Thaler and Ravishankar, 1998): each node has its own order of the relays, and a relay that
+ * is added or removed does not change the order of the others. The choice for each node is cached. A later call scores
+ * only the relays added since; the choice is computed anew if one of its relays was removed.
  */
 class RelayDirectory {
  public:
   explicit RelayDirectory(const std::vector<RelayAgent>& relays = {}) { update(relays); }
-  /** Takes the relays that there are now. */
+  /** Replaces the list of present relays. */
   void update(const std::vector<RelayAgent>& relays);
-  /** Forgets everything. */
+  /** Removes all relays and cached choices, and resets scored() to 0. */
   void clear() { *this = RelayDirectory(); }
-  /** \returns numbers of relays for one node, the first to be tried first: at most so many, of different data halls as
-   * far as there are. \param asker name of the node */
-  std::vector<std::uint32_t> relaysFor(const std::string& asker, std::size_t most);
-  /** \returns how often a relay's place in a node's order was worked out so far. */
+  /** \returns numbers of relays for a node, in the order in which to try them, of different data halls as far as
+   * possible. \param node name of the node \param maxCount maximum number of relays */
+  std::vector<std::uint32_t> relaysFor(const std::string& node, std::size_t maxCount);
+  /** \returns how many scores of a relay for a node were computed so far. */
   std::uint64_t scored() const { return m_scored; }
 
  private:
   struct Relay {
-    std::uint32_t number = 0;  ///< 0 is one that has gone, or is in another hall now
-    std::size_t hall = 0;      ///< place of its name in m_halls
+    std::uint32_t number = 0;  ///< 0 if the relay was removed or has moved to another data hall
+    std::size_t hall = 0;      ///< index of its data hall in m_halls
   };
-  /** A relay's place in the order of one node; the highest score goes first. */
+  /** Score of a relay for one node. The relay with the highest score comes first. */
   struct Scored {
     std::uint64_t score = 0;
-    std::uint32_t number = 0;  ///< 0 is none
-    std::size_t place = 0;     ///< in m_relays
+    std::uint32_t number = 0;  ///< 0 means no relay
+    std::size_t position = 0;  ///< index in m_relays
     bool operator<(const Scored& other) const {
       return score != other.score ? score > other.score : number < other.number;
     }
   };
-  /** What a node's relays rest on. */
+  /** Cached choice of relays for one node. */
   struct Choice {
-    std::size_t most = 0;
-    std::size_t seen = 0;        ///< so many of m_relays are taken in
-    std::vector<Scored> ofHall;  ///< the first of each hall, by place in m_halls
-    std::vector<Scored> best;    ///< the first of all, in order
+    std::size_t maxCount = 0;
+    std::size_t processed = 0;       ///< number of entries of m_relays that are scored
+    std::vector<Scored> bestOfHall;  ///< best relay of each data hall, by index in m_halls
+    std::vector<Scored> best;        ///< best relays of all data halls, sorted
   };
 
-  std::size_t hallNumber(const std::string& name);
-  void dropGone(const std::vector<RelayAgent>& relays);
-  bool stands(const Choice& choice) const;
-  void bringUpToDate(Choice& choice, const std::string& asker);
+  std::size_t hallIndex(const std::string& name);
+  void removeAbsent(const std::vector<RelayAgent>& relays);
+  bool isValid(const Choice& choice) const;
+  void scoreNewRelays(Choice& choice, const std::string& node);
 
-  std::vector<Relay> m_relays;                    ///< in the order in which they came
-  std::map<std::uint32_t, std::size_t> m_places;  ///< in m_relays, by number
-  std::vector<std::string> m_halls;
-  std::map<std::string, Choice> m_choices;  ///< by node
+  std::vector<Relay> m_relays;                       ///< in the order in which they were added
+  std::map<std::uint32_t, std::size_t> m_positions;  ///< index in m_relays by relay number
+  std::vector<std::string> m_halls;                  ///< names of data halls
+  std::map<std::string, Choice> m_choices;           ///< by name of the node
   std::uint64_t m_scored = 0;
 };
 
--- a/Courseloom/src/Membership/ViewFollower.cpp
+++ b/Courseloom/src/Membership/ViewFollower.cpp
@@ -15,10 +15,12 @@
 
 namespace internal {
 namespace {
-/** A leader holds an exchange back for at most this part of the freshness lease. */
-constexpr int WaitShare = 5;
-constexpr Duration FreshnessLook = milliseconds(50);
-constexpr Duration LeavingLimit = milliseconds(1000);
+/** The leader may delay its answer to an exchange for at most the freshness lease divided by this number. */
+constexpr int WaitDivisor = 5;
+/** Interval at which the loss or return of freshness is checked and logged. */
+constexpr Duration FreshnessCheckInterval = milliseconds(50);
+/** Time limit for the last heartbeat of a leaving node. */
+constexpr Duration LeavingTimeout = milliseconds(1000);
 }  // namespace
 }  // namespace internal
 
@@ -53,30 +55,31 @@
   while (!m_stopped) {
     schema::WatchRequest request = makeRequest();
     const Time sentAt = BootClock::now();
-    // A node whose lease runs out cannot wait for news.
+    // Once half of the freshness lease has passed, the node needs an immediate answer.
     const bool mayWait = freshUntil() > sentAt + m_freshness / 2;
-    if (mayWait) request.set_wait_ms(static_cast<std::uint32_t>(toMilliseconds(m_freshness)) / internal::WaitShare);
+    if (mayWait) request.set_wait_ms(static_cast<std::uint32_t>(toMilliseconds(m_freshness)) / internal::WaitDivisor);
     Result<schema::WatchReply> reply = co_await m_control.watchOnce(std::move(request), sentAt + 2 * m_freshness);
     if (reply) {
       m_control.setMembers({reply->members().begin(), reply->members().end()});
       m_control.setRelays({reply->relays().begin(), reply->relays().end()});
-      take(*reply, sentAt);
+      applyReply(*reply, sentAt);
     } else {
-      noteFailure(takeFailure(reply));
+      logLastingFailure(takeFailure(reply));
       co_await sleepFor(LeaderRetryPause);
     }
   }
 }
 
-/** Other replicas may answer at once, so that only a failure that lasts is told. */
-void ViewFollower::noteFailure(const Failure& failure) {
+/** Logs a failure only if the freshness lease has expired, since another replica may answer immediately. At most one
+ * failure is logged in twice the length of the lease. */
+void ViewFollower::logLastingFailure(const Failure& failure) {
   const Time now = BootClock::now();
-  if (fresh() || now < m_failureTold + 2 * m_freshness) return;
-  m_failureTold = now;
+  if (fresh() || now < m_lastFailureLog + 2 * m_freshness) return;
+  m_lastFailureLog = now;
   logFailure(schema::PeerFailed, failure);
 }
 
-void ViewFollower::take(const schema::WatchReply& reply, Time sentAt) {
+void ViewFollower::applyReply(const schema::WatchReply& reply, Time sentAt) {
   {
     std::unique_ptr<View> next;
     {
@@ -97,12 +100,12 @@
 }
 
 Awaitable<void> ViewFollower::watchFreshness() {
-  bool was = false;
+  bool wasFresh = false;
   while (!m_stopped) {
-    const bool now = fresh();
-    if (now != was) logEvent(now ? schema::FreshnessRegained : schema::FreshnessLost);
-    was = now;
-    co_await sleepFor(internal::FreshnessLook);
+    const bool isFresh = fresh();
+    if (isFresh != wasFresh) logEvent(isFresh ? schema::FreshnessRegained : schema::FreshnessLost);
+    wasFresh = isFresh;
+    co_await sleepFor(internal::FreshnessCheckInterval);
   }
 }
 
@@ -111,7 +114,7 @@
   schema::WatchRequest request = makeRequest();
   request.mutable_node()->set_leaving(true);
   Result<schema::WatchReply> reply =
-      co_await m_control.watch(std::move(request), BootClock::now() + internal::LeavingLimit);
+      co_await m_control.watch(std::move(request), BootClock::now() + internal::LeavingTimeout);
   if (!reply) logFailure(schema::PeerFailed, takeFailure(reply));
 }
 
--- a/Courseloom/src/Membership/ViewFollower.h
+++ b/Courseloom/src/Membership/ViewFollower.h
@@ -13,10 +13,11 @@
 namespace courseloom {
 
 /** \class ViewFollower
- * \brief Keeps a node's View up to date with the control leader, and holds the node's freshness lease.
+ * \brief Keeps the View of a node up to date with the control leader and maintains the freshness lease of the node.
  *
- * Each exchange is heartbeat and long poll in one: it tells the node's state and brings what is newer, a batch at a
- * time. The lease counts from when the exchange was sent, so it can only be shorter than the leader believes.
+ * Each exchange with the leader is both a heartbeat and a long poll: the request reports the state of the node, and the
+ * reply contains newer changes, one batch at a time. The lease counts from the time at which the request was sent, so
+ * it never ends later than the leader assumes.
  */
 class ViewFollower {
  public:
@@ -26,16 +27,20 @@
   ViewFollower(boost::asio::io_context& io, const schema::ClusterSettings& cluster, StatusSource status,
                ViewBuilder builder);
 
-  /** Called on the following coroutine for each new View, before readers see it. */
+  /** Sets the function that is called for each new View before it is published to readers. It runs on the coroutine
+   * that follows the leader. */
   void onView(ViewHook hook) { m_hook = std::move(hook); }
+  /** Starts following the leader. */
   void start();
-  /** Sends one last heartbeat that says this node is leaving, then follows no more. */
+  /** Stops following the leader and sends a last heartbeat that reports this node as leaving. */
   Awaitable<void> sayLeaving();
 
   const RcuPointer<View>& view() const { return m_view; }
-  /** \returns whether the leader was heard within the freshness lease. */
+  /** \returns whether the freshness lease is valid: the leader has answered a request sent within its length. */
   bool fresh() const { return BootClock::now() < freshUntil(); }
+  /** \returns whether the last reply of the leader reported this node as leaving. */
   bool leaving() const { return m_leaving.load(); }
+  /** \returns the revision of the configuration in the published View. */
   std::uint64_t revision() const { return m_revision.load(); }
   ControlClient& control() { return m_control; }
 
@@ -43,9 +48,9 @@
   Awaitable<void> follow();
   Awaitable<void> watchFreshness();
   Time freshUntil() const { return Time(Duration(m_freshUntil.load())); }
-  void noteFailure(const Failure& failure);
+  void logLastingFailure(const Failure& failure);
   schema::WatchRequest makeRequest();
-  void take(const schema::WatchReply& reply, Time sentAt);
+  void applyReply(const schema::WatchReply& reply, Time sentAt);
 
   boost::asio::io_context& m_io;
   ControlClient m_control;
@@ -54,7 +59,7 @@
   ViewHook m_hook;
   RcuPointer<View> m_view;
   Duration m_freshness;
-  Time m_failureTold{};
+  Time m_lastFailureLog{};
   std::atomic<std::uint64_t> m_sequence{0};
   std::atomic<std::int64_t> m_freshUntil{0};
   std::atomic<std::uint64_t> m_revision{0};
--- a/Courseloom/src/Replication/Replica.h
+++ b/Courseloom/src/Replication/Replica.h
@@ -33,8 +33,9 @@
   /** Performs the actions that depend on time: elections, heartbeats, check-quorum, leadership transfer and the removal
    * of silent members. Call it at least once per heartbeat interval. */
   void tick(Time now);
-  /** Receives one message. \returns false if it was refused for a wrong cluster, a wrong receiver or impossible content
-   */
+  /** Receives one message.
+   *
+   * \returns false if it was refused for a wrong cluster, a wrong receiver or impossible content */
   bool receive(const schema::ReplicaMessage& message, Time now);
   /** Appends one command to the log of the leader. \returns its index, or nothing if this replica is not the leader or
    * is transferring leadership */
