--- a/Courseloom/src/Entry/EntryService.cpp
+++ b/Courseloom/src/Entry/EntryService.cpp
@@ -26,9 +26,9 @@
 }  // namespace
 }  // namespace internal
 
-EntryService::EntryService(const DaemonContext& context, EntryEdges edges)
+EntryService::EntryService(const DaemonContext& context, EntryProtocol protocol)
     : m_context(context),
-      m_edges(std::move(edges)),
+      m_protocol(std::move(protocol)),
       m_follower(
           context.io, context.settings.cluster(), [this] { return status(); },
           ViewBuilder([&io = context.io](const std::string& address, unsigned port) {
@@ -41,29 +41,29 @@
              [this](HttpRequest request, std::string peer) { return handle(std::move(request), std::move(peer)); }),
       m_callers(
           context.io, internal::http_limits(context.settings.entry()),
-          [this](HttpRequest request, std::string) { return m_edges.answerCaller(std::move(request), m_queues); }),
+          [this](HttpRequest request, std::string) { return m_protocol.answerCaller(std::move(request), m_queues); }),
       m_readiness(context.io, HttpLimits(), [this](HttpRequest request, std::string) -> Awaitable<HttpResponse> {
-        co_return m_edges.answerReadiness(request, ready());
+        co_return m_protocol.answerReadiness(request, ready());
       }) {}
 
 Result<Listening> EntryService::start() {
   const schema::NodeSettings& node = m_context.settings.node();
   BOOST_LEAF_ASSIGN(m_listening.httpPort, m_http.start(node.address(), node.http_port()));
-  BOOST_LEAF_CHECK(startEdge());
+  BOOST_LEAF_CHECK(startProtocolListeners());
   m_follower.start();
   return m_listening;
 }
 
-Result<void> EntryService::startEdge() {
+Result<void> EntryService::startProtocolListeners() {
   const auto listen = [](HttpServer& server, const std::string& text) {
     const Endpoint endpoint = splitEndpoint(text);
     return server.start(endpoint.address, endpoint.port);
   };
   const schema::EdgeSettings& edge = m_context.settings.edge();
-  if (m_edges.answerCaller && !edge.client_endpoint().empty()) {
+  if (m_protocol.answerCaller && !edge.client_endpoint().empty()) {
     BOOST_LEAF_CHECK(listen(m_callers, edge.client_endpoint()));
   }
-  if (m_edges.answerReadiness && !edge.readiness_endpoint().empty()) {
+  if (m_protocol.answerReadiness && !edge.readiness_endpoint().empty()) {
     BOOST_LEAF_CHECK(listen(m_readiness, edge.readiness_endpoint()));
   }
   return {};
@@ -83,10 +83,10 @@
 
 Awaitable<HttpResponse> EntryService::handle(HttpRequest request, std::string /*peer*/) {
   if (std::optional<HttpResponse> admin = answerAdmin(request, ready(), m_context.metrics)) co_return std::move(*admin);
-  const std::string whole(request.target());
-  const std::size_t mark = whole.find('?');
-  std::vector<std::string> path = splitPath(whole.substr(0, mark));
-  std::string query = mark == std::string::npos ? std::string() : whole.substr(mark + 1);
+  const std::string requestTarget(request.target());
+  const std::size_t queryStart = requestTarget.find('?');
+  std::vector<std::string> path = splitPath(requestTarget.substr(0, queryStart));
+  std::string query = queryStart == std::string::npos ? std::string() : requestTarget.substr(queryStart + 1);
   if (path.size() < 2 || path.front() != "v1") {
     co_return problemResponse(Failure{FailureCode::NotFound, Ran::No, "route", "", "no such path", 0});
   }
@@ -116,7 +116,8 @@
 
 Awaitable<std::size_t> EntryService::stop() {
   const schema::EntrySettings& entry = m_context.settings.entry();
-  // Not ready first, while still serving, so that the balancer looks away before the listener closes.
+  // Reports not ready first and keeps serving, so that the load balancer stops sending requests before the listener
+  // closes.
   m_stopping = true;
   co_await sleepFor(milliseconds(entry.not_ready_ms()));
   m_http.drain();
--- a/Courseloom/src/Entry/EntryService.h
+++ b/Courseloom/src/Entry/EntryService.h
@@ -9,12 +9,12 @@
 
 namespace courseloom {
 
-/** \class EntryEdges
- * \brief The deployment's protocol, as far as an entry speaks it; empty where none is spoken.
+/** \class EntryProtocol
+ * \brief Handlers of the deployment's own protocol at an entry. An empty handler has no listener.
  */
-struct EntryEdges {
-  std::function<Awaitable<HttpResponse>(HttpRequest, QueueGateway&)> answerCaller;
-  std::function<HttpResponse(const HttpRequest&, bool ready)> answerReadiness;
+struct EntryProtocol {
+  std::function<Awaitable<HttpResponse>(HttpRequest, QueueGateway&)> answerCaller;  ///< queue calls
+  std::function<HttpResponse(const HttpRequest&, bool ready)> answerReadiness;      ///< readiness probes
 };
 
 /** \class EntryService
@@ -22,7 +22,7 @@
  */
 class EntryService : public Service {
  public:
-  explicit EntryService(const DaemonContext& context, EntryEdges edges = {});
+  explicit EntryService(const DaemonContext& context, EntryProtocol protocol = {});
   Result<Listening> start() override;
   Awaitable<std::size_t> stop() override;
   void reload(const schema::Settings& settings) override;
@@ -30,19 +30,19 @@
  private:
   Awaitable<HttpResponse> handle(HttpRequest request, std::string peer);
   Awaitable<HttpResponse> serveRequest(HttpRequest request, std::string service);
-  Result<void> startEdge();
+  Result<void> startProtocolListeners();
   schema::NodeStatus status() const;
   bool ready() const { return m_follower.fresh() && !m_stopping; }
 
   DaemonContext m_context;
-  EntryEdges m_edges;
+  EntryProtocol m_protocol;
   ViewFollower m_follower;
   RequestPath m_requests;
   OperatorRoutes m_operators;
   QueueGateway m_queues;
-  HttpServer m_http;
-  HttpServer m_callers;
-  HttpServer m_readiness;
+  HttpServer m_http;       ///< courseloom's own HTTP interface
+  HttpServer m_callers;    ///< queue calls in the deployment's protocol
+  HttpServer m_readiness;  ///< readiness probes in the deployment's protocol
   Listening m_listening;
   std::atomic<bool> m_stopping{false};
 };
--- a/Courseloom/src/Entry/OperatorRoutes.cpp
+++ b/Courseloom/src/Entry/OperatorRoutes.cpp
@@ -15,8 +15,9 @@
 namespace internal {
 namespace {
 
+/** Longest time for a command or a query at the control leader, without the wait that a query asks for. */
 constexpr Duration CommandLimit = milliseconds(10000);
-constexpr std::uint32_t MostWaitMs = 3600 * 1000;
+constexpr std::uint32_t MaxWaitMs = 3600 * 1000;
 
 Failure bad_request(const std::string& detail) {
   return Failure{FailureCode::BadRequest, Ran::No, "read request", "", detail, 0};
@@ -47,11 +48,13 @@
   return json;
 }
 
+/** \returns the command id of a sendCommand whose caller gave none. */
 std::string random_id() {
   thread_local std::mt19937_64 generator(std::random_device{}());
   return "c" + std::to_string(generator()) + "-" + std::to_string(generator());
 }
 
+/** \returns the revision of an If-Match header, 0 if the header is missing. */
 Result<std::uint64_t> read_revision(const std::string& text) {
   std::string digits = text;
   std::erase(digits, '"');
@@ -113,7 +116,7 @@
   co_return problemResponse(Failure{FailureCode::NotFound, Ran::No, "route", "", "no such path", 0});
 }
 
-Awaitable<HttpResponse> OperatorRoutes::ask(schema::QueryRequest query) {
+Awaitable<HttpResponse> OperatorRoutes::sendQuery(schema::QueryRequest query) {
   const Time deadline = BootClock::now() + internal::CommandLimit + milliseconds(query.wait_ms());
   Result<schema::QueryReply> reply = co_await m_control.query(std::move(query), deadline);
   if (!reply) {
@@ -125,11 +128,12 @@
   co_return jsonResponse(200, internal::to_json(*reply));
 }
 
-Awaitable<HttpResponse> OperatorRoutes::change(schema::Command command, const HttpRequest& request, unsigned status) {
+Awaitable<HttpResponse> OperatorRoutes::sendCommand(schema::Command command, const HttpRequest& request,
+                                                    unsigned status) {
   const std::string id = headerValue(request, "Courseloom-Command-Id");
   command.set_command_id(id.empty() ? internal::random_id() : id);
-  const std::string who = headerValue(request, "Courseloom-Operator");
-  command.set_operator_name(who.empty() ? "unnamed" : who);
+  const std::string operatorName = headerValue(request, "Courseloom-Operator");
+  command.set_operator_name(operatorName.empty() ? "unnamed" : operatorName);
   Result<schema::CommandReply> reply =
       co_await m_control.command(std::move(command), BootClock::now() + internal::CommandLimit);
   if (!reply) co_return problemResponse(takeFailure(reply));
@@ -145,40 +149,40 @@
     if (!spec) co_return problemResponse(takeFailure(spec));
     schema::Command command;
     *command.mutable_submit()->mutable_spec() = std::move(*spec);
-    co_return co_await change(std::move(command), request, 201);
+    co_return co_await sendCommand(std::move(command), request, 201);
   }
-  schema::QueryRequest ask_for;
+  schema::QueryRequest queryRequest;
   if (path.size() == 1 && request.method() == http::verb::get) {
-    ask_for.set_kind(schema::QueryJobs);
-    ask_for.set_selector(queryValue(query, "selector"));
-    co_return co_await ask(std::move(ask_for));
+    queryRequest.set_kind(schema::QueryJobs);
+    queryRequest.set_selector(queryValue(query, "selector"));
+    co_return co_await sendQuery(std::move(queryRequest));
   }
   if (path.size() == 2 && request.method() == http::verb::get) {
-    ask_for.set_kind(schema::QueryJob);
-    ask_for.set_id(path[1]);
+    queryRequest.set_kind(schema::QueryJob);
+    queryRequest.set_id(path[1]);
     const std::string wait = queryValue(query, "wait");
     std::uint32_t waitMs = 0;
     const auto [end, error] = std::from_chars(wait.data(), wait.data() + wait.size(), waitMs);
     const bool wrong =
-        !wait.empty() && (error != std::errc() || end != wait.data() + wait.size() || waitMs > internal::MostWaitMs);
+        !wait.empty() && (error != std::errc() || end != wait.data() + wait.size() || waitMs > internal::MaxWaitMs);
     if (wrong) co_return problemResponse(internal::bad_request("wait is not a number of milliseconds up to 3600000"));
-    ask_for.set_wait_ms(waitMs);
-    co_return co_await ask(std::move(ask_for));
+    queryRequest.set_wait_ms(waitMs);
+    co_return co_await sendQuery(std::move(queryRequest));
   }
   if (path.size() == 2 && request.method() == http::verb::delete_) {
     schema::Command command;
     command.mutable_cancel()->set_id(path[1]);
-    co_return co_await change(std::move(command), request, 200);
+    co_return co_await sendCommand(std::move(command), request, 200);
   }
   co_return problemResponse(internal::wrong_method(path.size() == 1 ? "GET or POST" : "GET or DELETE"));
 }
 
 Awaitable<HttpResponse> OperatorRoutes::objects(HttpRequest request, std::vector<std::string> path, std::string query) {
   if (path.size() == 1 && request.method() == http::verb::get) {
-    schema::QueryRequest ask_for;
-    ask_for.set_kind(schema::QueryObjects);
-    ask_for.set_selector(queryValue(query, "selector"));
-    co_return co_await ask(std::move(ask_for));
+    schema::QueryRequest queryRequest;
+    queryRequest.set_kind(schema::QueryObjects);
+    queryRequest.set_selector(queryValue(query, "selector"));
+    co_return co_await sendQuery(std::move(queryRequest));
   }
   Result<std::uint64_t> revision = internal::read_revision(headerValue(request, "If-Match"));
   if (!revision) co_return problemResponse(takeFailure(revision));
@@ -190,13 +194,13 @@
     if (*revision > 0) {
       for (schema::Object& object : *command.mutable_apply()->mutable_objects()) object.set_revision(*revision);
     }
-    co_return co_await change(std::move(command), request, 200);
+    co_return co_await sendCommand(std::move(command), request, 200);
   }
   if (path.size() == 3 && request.method() == http::verb::delete_) {
     command.mutable_remove()->mutable_key()->set_kind(path[1]);
     command.mutable_remove()->mutable_key()->set_name(path[2]);
     command.mutable_remove()->set_revision(*revision);
-    co_return co_await change(std::move(command), request, 200);
+    co_return co_await sendCommand(std::move(command), request, 200);
   }
   co_return problemResponse(internal::wrong_method("GET or POST on /v1/objects, DELETE on /v1/objects/KIND/NAME"));
 }
@@ -207,13 +211,13 @@
   if (!action) co_return problemResponse(takeFailure(action));
   schema::Command command;
   *command.mutable_action() = std::move(*action);
-  co_return co_await change(std::move(command), request, 200);
+  co_return co_await sendCommand(std::move(command), request, 200);
 }
 
 Awaitable<HttpResponse> OperatorRoutes::status() {
   schema::QueryRequest query;
   query.set_kind(schema::QueryStatus);
-  co_return co_await ask(std::move(query));
+  co_return co_await sendQuery(std::move(query));
 }
 
 }  // namespace courseloom
--- a/Courseloom/src/Entry/QueueGateway.cpp
+++ b/Courseloom/src/Entry/QueueGateway.cpp
@@ -12,17 +12,18 @@
 namespace internal {
 namespace {
 
-/** Share of the caller's time after which a call that surely did not run is given up, so that the caller can come back
- * in what is left, and the longest time for one: an election and a try beyond it take 1 to 1.5 s. */
+/** A call that certainly did not run is given up after this share of the caller's time, so that the caller can retry in
+ * the rest, and after GiveUpLimit at the latest: an election and one further attempt take 1 to 1.5 s. */
 constexpr int GiveUpNumerator = 3;
 constexpr int GiveUpDenominator = 5;
 constexpr Duration GiveUpLimit = milliseconds(1800);
-/** Share of the caller's time for which a doubt is asked again; the rest is the answer's way back. Replicas without
- * power for 2.6 s left 14 submissions of 18 in doubt after 1.8 s that were committed a moment later. */
-constexpr int DoubtNumerator = 9;
-constexpr int DoubtDenominator = 10;
+/** A call that may have run is retried for this share of the caller's time; the rest is for the answer's way back. When
+ * replicas lost power for 2.6 s, 14 of 18 submissions had an unknown outcome after 1.8 s and were committed shortly
+ * afterwards. */
+constexpr int UnconfirmedNumerator = 9;
+constexpr int UnconfirmedDenominator = 10;
 
-/** \returns whether a call changes anything, so that a doubt about it matters. */
+/** \returns whether a call changes state, so that it matters whether the call ran. */
 bool changes_state(const schema::QueueCall& call) { return call.kind() != schema::QueueState; }
 
 }  // namespace
@@ -34,9 +35,9 @@
   const std::string kind = schema::QueueCallKind_Name(call.kind());
   const std::string path = call.path();
   const Time now = BootClock::now();
-  const Duration doubtBudget = allowed * internal::DoubtNumerator / internal::DoubtDenominator;
-  const Duration longest = internal::changes_state(call) ? std::max(budget, doubtBudget) : budget;
-  Result<schema::QueueAnswer> answer = co_await m_control.call(std::move(call), now + budget, now + longest);
+  const Duration unconfirmedBudget = allowed * internal::UnconfirmedNumerator / internal::UnconfirmedDenominator;
+  const Duration maxBudget = internal::changes_state(call) ? std::max(budget, unconfirmedBudget) : budget;
+  Result<schema::QueueAnswer> answer = co_await m_control.call(std::move(call), now + budget, now + maxBudget);
   if (answer) co_return answer;
   Failure failure = takeFailure(answer);
   logEvent(schema::QueueCallFailed, {{"kind", kind},
--- a/Courseloom/src/Entry/QueueGateway.h
+++ b/Courseloom/src/Entry/QueueGateway.h
@@ -8,13 +8,18 @@
 namespace courseloom {
 
 /** \class QueueGateway
- * \brief An entry's way to the queues: hands each call to the control leader, which alone knows the configuration in
- * force, and gives it up early enough that the caller can still come back.
+ * \brief Forwards an entry's queue calls to the control leader.
+ *
+ * Only the leader knows the configuration in force. A call that certainly did not run is given up early enough that the
+ * caller can retry it within its own deadline.
  */
 class QueueGateway {
  public:
   explicit QueueGateway(ControlClient& control) : m_control(control) {}
-  /** \param allowed time that the caller gives. \returns the answer, or a failure whose `ran` is true to fact */
+  /** Makes one call.
+   * \param allowed time that the caller waits for the answer
+   * \returns the answer, or a failure whose `ran` says whether the call took effect
+   */
   Awaitable<Result<schema::QueueAnswer>> call(schema::QueueCall call, Duration allowed);
 
  private:
--- a/Courseloom/src/Entry/RequestContext.cpp
+++ b/Courseloom/src/Entry/RequestContext.cpp
@@ -16,8 +16,8 @@
 namespace internal {
 namespace {
 
-constexpr std::uint32_t MostDeadlineMs = 3600 * 1000;
-constexpr std::size_t MostIdLength = 128;
+constexpr std::uint32_t MaxDeadlineMs = 3600 * 1000;
+constexpr std::size_t MaxIdLength = 128;
 
 Failure bad_header(const std::string& name, const std::string& detail) {
   return Failure{FailureCode::BadRequest, Ran::No, "read request", "", "header " + name + ": " + detail, 0};
@@ -40,7 +40,7 @@
   if (text.empty()) return defaultMs;
   std::uint32_t value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (error != std::errc() || end != text.data() + text.size() || value == 0 || value > MostDeadlineMs) {
+  if (error != std::errc() || end != text.data() + text.size() || value == 0 || value > MaxDeadlineMs) {
     return fail(bad_header("Courseloom-Deadline-Ms", "'" + text + "' is not a number from 1 to 3600000"));
   }
   return value;
@@ -55,7 +55,7 @@
 }  // namespace
 }  // namespace internal
 
-std::uint32_t RequestContext::leftMs() const {
+std::uint32_t RequestContext::remainingMs() const {
   const double left = toMilliseconds(deadline - BootClock::now());
   return left <= 0 ? 0 : static_cast<std::uint32_t>(left);
 }
@@ -72,7 +72,7 @@
     return fail(
         internal::bad_header("Courseloom-Request-Id", "is missing; a request that must not be repeated needs one"));
   }
-  if (context.requestId.size() > internal::MostIdLength) {
+  if (context.requestId.size() > internal::MaxIdLength) {
     return fail(internal::bad_header("Courseloom-Request-Id", "is longer than 128 characters"));
   }
   BOOST_LEAF_ASSIGN(context.urgency, internal::read_urgency(headerValue(request, "Courseloom-Urgency")));
--- a/Courseloom/src/Entry/RequestPath.cpp
+++ b/Courseloom/src/Entry/RequestPath.cpp
@@ -17,10 +17,14 @@
 namespace internal {
 namespace {
 
-/** The agent answers at the deadline itself; its answer needs a moment to arrive. */
+/** Added to a request's deadline for calls to agents and for ending claims: an agent answers no temporary than the
+ * deadline itself, and its answer needs time to arrive. */
 constexpr Duration AnswerGrace = milliseconds(100);
-constexpr Duration SettleLimit = milliseconds(60000);
-constexpr std::uint32_t AskAgainMs = 500;
+/** Longest time for which a claim is resolved in the background after its request has failed. */
+constexpr Duration BackgroundResolveLimit = milliseconds(60000);
+/** Time after which a caller may retry, and interval of the background resolution of a claim, ms. */
+constexpr std::uint32_t RetryAfterMs = 500;
+/** Most attempts to claim and run one request that must not be repeated. */
 constexpr int MaxClaimRounds = 6;
 
 RouterOptions router_options(const schema::EntrySettings& entry) {
@@ -32,16 +36,18 @@
   return options;
 }
 
-/** A request may be what ends its targets: it must not go on to all of them. */
-constexpr unsigned MostTriesInDoubt = 3;
+/** Most attempts of one repeatable request that may have run. The request itself may crash its targets and must not be
+ * sent to all of them. */
+constexpr unsigned MaxUnconfirmedTries = 3;
 
 std::uint64_t random_number() {
   thread_local std::mt19937_64 generator(std::random_device{}());
   return generator();
 }
 
-/** A refusal that says only that this target takes nothing: another one may, and asking costs it nothing. */
-bool is_free_retry(const Failure& failure) {
+/** \returns whether a retry needs no retry budget: the target accepts no work at all, so that another target may accept
+ * the request, and the refused attempt cost no work. */
+bool needs_no_budget(const Failure& failure) {
   if (failure.ran != Ran::No) return false;
   return failure.code == FailureCode::Stopping || failure.code == FailureCode::Leaving ||
          failure.code == FailureCode::PeerUnreachable || failure.code == FailureCode::TargetUnreachable;
@@ -53,22 +59,23 @@
          failure.code == FailureCode::Draining || failure.code == FailureCode::Fenced;
 }
 
-/** \returns the failure of a request whose attempts others fence off, as they ask for the same one. */
+/** \returns the failure of a request whose attempts are fenced by concurrent calls with the same request id. */
 Failure contested_failure() {
   return Failure{
-      FailureCode::OutcomeUnknown, Ran::Unknown, "claim", "", "others keep asking for the same request", AskAgainMs};
+      FailureCode::OutcomeUnknown, Ran::Unknown, "claim", "", "others keep asking for the same request", RetryAfterMs};
 }
 
-struct Counted {
+/** Counts a request as in flight at the entry and in its workspace until destruction; admit() has increased both. */
+struct InFlightScope {
   std::atomic<std::size_t>& all;
   View::Counter workspace;
-  Counted(std::atomic<std::size_t>& total, View::Counter counter) : all(total), workspace(std::move(counter)) {}
-  ~Counted() {
+  InFlightScope(std::atomic<std::size_t>& total, View::Counter counter) : all(total), workspace(std::move(counter)) {}
+  ~InFlightScope() {
     --all;
     --*workspace;
   }
-  Counted(const Counted&) = delete;
-  Counted& operator=(const Counted&) = delete;
+  InFlightScope(const InFlightScope&) = delete;
+  InFlightScope& operator=(const InFlightScope&) = delete;
 };
 
 }  // namespace
@@ -78,7 +85,7 @@
     : m_context(context),
       m_follower(follower),
       m_router(internal::router_options(context.settings.entry())),
-      m_prefix(context.settings.node().name() + "-" + std::to_string(internal::random_number()) + "-") {}
+      m_exchangePrefix(context.settings.node().name() + "-" + std::to_string(internal::random_number()) + "-") {}
 
 // ---- limits
 
@@ -88,8 +95,8 @@
     return Failure{code, request.notRun(), "entry", m_context.settings.node().name(), detail, retryAfterMs};
   };
   if (!m_follower.fresh()) {
-    return fail(
-        refuse(FailureCode::NotFresh, "this entry has not heard from the control leader lately", internal::AskAgainMs));
+    return fail(refuse(FailureCode::NotFresh, "this entry has not heard from the control leader lately",
+                       internal::RetryAfterMs));
   }
   const RcuReadGuard guard;
   const View& view = m_follower.view().read(guard);
@@ -110,11 +117,11 @@
   const std::uint32_t limit = workspace->workspace().max_in_flight();
   if (limit > 0 && counter->load() >= limit) {
     return fail(
-        refuse(FailureCode::Overloaded, "the workspace has its limit of requests in flight", internal::AskAgainMs));
+        refuse(FailureCode::Overloaded, "the workspace has its limit of requests in flight", internal::RetryAfterMs));
   }
   if (m_inFlight.load() >= limits.max_in_flight()) {
     return fail(
-        refuse(FailureCode::Overloaded, "this entry has its limit of requests in flight", internal::AskAgainMs));
+        refuse(FailureCode::Overloaded, "this entry has its limit of requests in flight", internal::RetryAfterMs));
   }
   ++m_inFlight;
   ++*counter;
@@ -128,7 +135,7 @@
     m_context.metrics.count("refused", codeName(failure.code));
     co_return fail(failure);
   }
-  const internal::Counted counted(m_inFlight, *counter);
+  const internal::InFlightScope inFlightScope(m_inFlight, *counter);
   m_router.onFirstTry();
   Result<schema::Answer> answer = Failed(Failure{});
   if (request.repeatable) {
@@ -136,20 +143,21 @@
   } else {
     answer = co_await serveOnce(request);
   }
-  finishTimes(request, bool(answer));
+  recordTimes(request, bool(answer));
   if (answer) co_return answer;
   Failure failure = takeFailure(answer);
   m_context.metrics.count("refused", codeName(failure.code));
   logFailure(schema::RequestRefused, failure);
-  // An outcome that is lost for good says nothing else later; one that may still be learnt carries its own time.
+  // A retry cannot reveal an outcome that is lost for good; the failure of an outcome that may still become known
+  // already has a retry time.
   const unsigned status = codeStatus(failure.code);
-  const bool later = status == 503 || status == 429 || status >= 502;
-  const bool comingBackHelps = later && failure.code != FailureCode::OutcomeUnknown;
-  if (comingBackHelps && failure.retryAfterMs == 0) failure.retryAfterMs = internal::AskAgainMs;
+  const bool temporary = status == 503 || status == 429 || status >= 502;
+  const bool retryHelps = temporary && failure.code != FailureCode::OutcomeUnknown;
+  if (retryHelps && failure.retryAfterMs == 0) failure.retryAfterMs = internal::RetryAfterMs;
   co_return fail(std::move(failure));
 }
 
-void RequestPath::finishTimes(const RequestContext& request, bool answered) {
+void RequestPath::recordTimes(const RequestContext& request, bool answered) {
   const double ms = toMilliseconds(BootClock::now() - request.arrived);
   m_context.metrics.record(answered ? "request_ms" : "refusal_ms", request.workspace, request.className(), ms);
 }
@@ -175,14 +183,14 @@
   return nullptr;
 }
 
-Failure RequestPath::noTarget(const RequestContext& request, const std::optional<Failure>& last) const {
+Failure RequestPath::noTargetFailure(const RequestContext& request, const std::optional<Failure>& last) const {
   if (last) return *last;
   return Failure{FailureCode::NoTarget, request.notRun(), "route", request.service, "no target of the service is live",
-                 internal::AskAgainMs};
+                 internal::RetryAfterMs};
 }
 
-void RequestPath::noteOutcome(const RequestContext& request, Target& target, const Result<schema::Answer>& answer,
-                              const Failure& failure) {
+void RequestPath::recordOutcome(const RequestContext& request, Target& target, const Result<schema::Answer>& answer,
+                                const Failure& failure) {
   Outcome outcome = Outcome::Answered;
   if (!answer) outcome = internal::is_refusal(failure) ? Outcome::Refused : Outcome::Failed;
   const RcuReadGuard guard;
@@ -195,9 +203,9 @@
 }
 
 bool RequestPath::mayRetry(const Failure& failure, const RequestContext& request) {
-  if (request.leftMs() == 0) return false;
+  if (request.remainingMs() == 0) return false;
   if (failure.ran != Ran::No && !request.repeatable) return false;
-  if (internal::is_free_retry(failure) || failure.code == FailureCode::Fenced) return true;
+  if (internal::needs_no_budget(failure) || failure.code == FailureCode::Fenced) return true;
   const bool sameEverywhere = failure.code == FailureCode::BadRequest || failure.code == FailureCode::UnknownService ||
                               failure.code == FailureCode::BodyTooLarge ||
                               failure.code == FailureCode::DeadlinePassed || failure.code == FailureCode::Draining;
@@ -207,13 +215,13 @@
 Awaitable<Result<schema::Answer>> RequestPath::runOn(const RequestContext& request, TargetPointer target,
                                                      std::optional<schema::Token> token) {
   schema::RunRequest run;
-  const std::string exchange = m_prefix + std::to_string(m_exchanges.fetch_add(1));
+  const std::string exchange = m_exchangePrefix + std::to_string(m_exchanges.fetch_add(1));
   run.set_exchange(exchange);
   run.set_service(request.service);
   run.set_workspace(request.workspace);
   run.set_class_name(request.className());
   run.set_urgency(request.urgency);
-  run.set_deadline_ms(request.leftMs());
+  run.set_deadline_ms(request.remainingMs());
   run.set_content_type(request.contentType);
   run.set_body(request.body);
   if (token) *run.mutable_token() = *token;
@@ -234,7 +242,7 @@
     failure = takeFailure(answer);
     answer = fail(failure);
   }
-  noteOutcome(request, *target, answer, failure);
+  recordOutcome(request, *target, answer, failure);
   co_return answer;
 }
 
@@ -257,19 +265,20 @@
 Awaitable<Result<schema::Answer>> RequestPath::serveRepeatable(RequestContext& request) {
   std::vector<std::string> tried;
   std::optional<Failure> last;
-  unsigned triesInDoubt = 0;
+  unsigned unconfirmedTries = 0;
   while (true) {
     const TargetPointer target = pick(request, tried);
-    if (!target) co_return fail(noTarget(request, last));
+    if (!target) co_return fail(noTargetFailure(request, last));
     Result<schema::Answer> answer = co_await runOn(request, target, std::nullopt);
     if (answer) co_return answer;
     Failure failure = takeFailure(answer);
-    if (failure.ran != Ran::No) ++triesInDoubt;
-    // One try that may have run makes the whole request one that may have run.
+    if (failure.ran != Ran::No) ++unconfirmedTries;
+    // If any attempt may have run, the request may have run.
     if (last && last->ran != Ran::No) failure.ran = last->ran;
     last = failure;
     tried.push_back(target->name);
-    if (triesInDoubt >= internal::MostTriesInDoubt || !mayRetry(failure, request)) co_return fail(std::move(failure));
+    if (unconfirmedTries >= internal::MaxUnconfirmedTries || !mayRetry(failure, request))
+      co_return fail(std::move(failure));
     m_context.metrics.count("retries", codeName(failure.code));
   }
 }
@@ -298,13 +307,13 @@
   for (int round = 0; round < internal::MaxClaimRounds; ++round) {
     const TargetPointer target = pick(request, tried);
     if (!target && !request.claimKnown) co_return co_await answerWithoutTarget(request);
-    if (!target) co_return fail(noTarget(request, last));
-    const std::string opener = m_prefix + std::to_string(m_exchanges.fetch_add(1));
+    if (!target) co_return fail(noTargetFailure(request, last));
+    const std::string opener = m_exchangePrefix + std::to_string(m_exchanges.fetch_add(1));
     Result<schema::CommandReply> opened = co_await openClaim(request, *target, opener);
     if (!opened) {
       Failure failure = takeFailure(opened);
       const bool digestRefused = failure.code == FailureCode::RequestIdReused;
-      // Without the claim nobody can say whether another entry ran it; nothing was sent from here.
+      // Without the claim it is unknown whether another entry ran the request; this entry has sent nothing.
       if (!digestRefused) failure.ran = request.notRun();
       co_return fail(std::move(failure));
     }
@@ -322,11 +331,12 @@
     Result<schema::Answer> answer = co_await dispatchClaim(request, target, claim.token());
     if (answer) co_return answer;
     Failure failure = takeFailure(answer);
-    // Another asker of the same request made the token void before it arrived. That says nothing against the target,
-    // and that asker may run the request, so this one cannot say that it did not run.
+    // A concurrent call with the same request id voided the token before it reached the agent. The target is not at
+    // fault. The other call may run the request, so this one cannot report that it did not run.
     if (failure.code == FailureCode::Fenced) {
-      if (request.leftMs() == 0) co_return fail(internal::contested_failure());
-      // The agent may also be in a newer life than this entry knows: others come first, then the same again.
+      if (request.remainingMs() == 0) co_return fail(internal::contested_failure());
+      // The agent may also have a newer incarnation than this entry knows: other targets are tried first, then this one
+      // again.
       tried.push_back(target->name);
       if (!pick(request, tried)) tried.clear();
       request.claimKnown = false;
@@ -340,17 +350,17 @@
   co_return fail(last.value_or(internal::contested_failure()));
 }
 
-/** No target is live; an earlier answer may be kept all the same. */
+/** Serves a request while no target is live: returns the answer of an earlier attempt if the log has one. */
 Awaitable<Result<schema::Answer>> RequestPath::answerWithoutTarget(RequestContext& request) {
   schema::QueryRequest query;
   query.set_kind(schema::QueryClaim);
   query.set_workspace(request.workspace);
   query.set_id(request.requestId);
   Result<schema::QueryReply> reply = co_await m_follower.control().query(std::move(query), request.deadline);
-  if (!reply) co_return fail(noTarget(request, std::nullopt));
+  if (!reply) co_return fail(noTargetFailure(request, std::nullopt));
   request.claimKnown = true;
   const bool known = reply->has_claim() && reply->claim().phase() != schema::ClaimVoid;
-  if (!known) co_return fail(noTarget(request, std::nullopt));
+  if (!known) co_return fail(noTargetFailure(request, std::nullopt));
   if (reply->claim().digest() != request.digest) {
     co_return fail(Failure{FailureCode::RequestIdReused, Ran::No, "claim", "",
                            "the request id was used with another body or service", 0});
@@ -358,19 +368,21 @@
   co_return co_await answerFromClaim(request, reply->claim());
 }
 
-/** The claim is not this dispatch's to send: tells what it says, or asks the agent. */
+/** Answers from a claim that another call opened: with the recorded answer, or with the agent's if the claim is open.
+ */
 Awaitable<Result<schema::Answer>> RequestPath::answerFromClaim(RequestContext& request, schema::Claim claim) {
   if (claim.phase() == schema::ClaimOpen) co_return co_await resolveClaim(request, claim.token());
   if (claim.answer_dropped()) {
     co_return fail(
         Failure{FailureCode::AnswerNotKept, Ran::Yes, "claim", "", "it ran; its answer was too large to keep", 0});
   }
-  schema::ResolveReply fate;
-  fate.set_fate(claim.phase() == schema::ClaimFinished ? schema::TokenFinished : schema::TokenUnknown);
-  *fate.mutable_answer() = claim.answer();
-  co_return co_await concludeClaim(request, claim.token(), std::move(fate));
+  schema::ResolveReply outcome;
+  outcome.set_fate(claim.phase() == schema::ClaimFinished ? schema::TokenFinished : schema::TokenUnknown);
+  *outcome.mutable_answer() = claim.answer();
+  co_return co_await concludeClaim(request, claim.token(), std::move(outcome));
 }
 
+/** Runs a claimed request on its target and ends the claim. */
 Awaitable<Result<schema::Answer>> RequestPath::dispatchClaim(RequestContext& request, TargetPointer target,
                                                              schema::Token token) {
   Result<schema::Answer> answer = co_await runOn(request, target, token);
@@ -379,20 +391,20 @@
     co_return answer;
   }
   Failure failure = takeFailure(answer);
-  // A token is sent once, so a delivery that was fenced off means that it never started.
+  // A token is sent once, so a fenced delivery means that the run never started.
   if (failure.code == FailureCode::Fenced) failure.ran = Ran::No;
   if (failure.ran == Ran::No) {
-    // The agent made the token void, or never saw it, and nobody else may send it.
+    // The agent voided the token or never received it, and no other process may send it.
     co_await endClaim(token, schema::ClaimVoid, {}, request.deadline + internal::AnswerGrace);
     co_return fail(std::move(failure));
   }
-  if (request.leftMs() > 0) co_return co_await resolveClaim(request, token);
-  asio::co_spawn(m_context.io, settleLater(token, target), asio::detached);
-  failure.retryAfterMs = internal::AskAgainMs;
+  if (request.remainingMs() > 0) co_return co_await resolveClaim(request, token);
+  asio::co_spawn(m_context.io, resolveInBackground(token, target), asio::detached);
+  failure.retryAfterMs = internal::RetryAfterMs;
   co_return fail(std::move(failure));
 }
 
-/** Asks the agent that a token names what became of it. */
+/** Requests the outcome of a token from the agent of its target. */
 Awaitable<Result<schema::Answer>> RequestPath::resolveClaim(RequestContext& request, schema::Token token) {
   const TargetPointer target = findTarget(request.service, token.target());
   const Failure unknown{FailureCode::OutcomeUnknown,
@@ -400,34 +412,34 @@
                         "resolve",
                         token.target(),
                         "its target cannot be asked now; ask again with the same request id",
-                        internal::AskAgainMs};
+                        internal::RetryAfterMs};
   if (!target) co_return fail(unknown);
   schema::ResolveRequest ask;
   *ask.mutable_token() = token;
-  ask.set_deadline_ms(request.leftMs());
-  Result<schema::ResolveReply> fate =
+  ask.set_deadline_ms(request.remainingMs());
+  Result<schema::ResolveReply> outcome =
       co_await target->agent->call<schema::ResolveReply>("resolve", ask, request.deadline + internal::AnswerGrace);
-  if (!fate) {
-    asio::co_spawn(m_context.io, settleLater(token, target), asio::detached);
+  if (!outcome) {
+    asio::co_spawn(m_context.io, resolveInBackground(token, target), asio::detached);
     co_return fail(unknown);
   }
-  co_return co_await concludeClaim(request, token, std::move(*fate));
+  co_return co_await concludeClaim(request, token, std::move(*outcome));
 }
 
 Awaitable<Result<schema::Answer>> RequestPath::concludeClaim(RequestContext& request, schema::Token token,
-                                                             schema::ResolveReply fate) {
+                                                             schema::ResolveReply outcome) {
   const Time deadline = request.deadline + internal::AnswerGrace;
-  switch (fate.fate()) {
+  switch (outcome.fate()) {
     case schema::TokenFinished:
-      co_await endClaim(token, schema::ClaimFinished, fate.answer(), deadline);
-      co_return fate.answer();
+      co_await endClaim(token, schema::ClaimFinished, outcome.answer(), deadline);
+      co_return outcome.answer();
     case schema::TokenTombstoned:
       co_await endClaim(token, schema::ClaimVoid, {}, deadline);
       co_return fail(
           Failure{FailureCode::Fenced, Ran::No, "resolve", token.target(), "the earlier attempt never ran", 0});
     case schema::TokenRunning:
       co_return fail(Failure{FailureCode::OutcomeUnknown, Ran::Unknown, "resolve", token.target(),
-                             "it is still running; ask again with the same request id", internal::AskAgainMs});
+                             "it is still running; ask again with the same request id", internal::RetryAfterMs});
     default:
       break;
   }
@@ -445,26 +457,27 @@
   end->set_phase(phase);
   if (phase == schema::ClaimFinished) *end->mutable_answer() = std::move(answer);
   Result<schema::CommandReply> reply = co_await m_follower.control().command(std::move(command), deadline);
-  // Not fatal: the claim stays open, and the next asker learns the outcome from the agent.
+  // Not fatal: the claim stays open, and the next call with this request id gets the outcome from the agent.
   if (!reply) logFailure(schema::PeerFailed, takeFailure(reply));
 }
 
-/** Goes on asking after the caller has gone, so that the answer is kept for when it comes back. */
-Awaitable<void> RequestPath::settleLater(schema::Token token, TargetPointer target) {
-  const Time end = BootClock::now() + internal::SettleLimit;
+/** Requests the outcome of a token until it is known, after the caller's call has ended. The answer is then recorded
+ * for the caller's retry. */
+Awaitable<void> RequestPath::resolveInBackground(schema::Token token, TargetPointer target) {
+  const Time end = BootClock::now() + internal::BackgroundResolveLimit;
   while (BootClock::now() < end) {
     schema::ResolveRequest ask;
     *ask.mutable_token() = token;
     ask.set_deadline_ms(static_cast<std::uint32_t>(toMilliseconds(end - BootClock::now())));
-    Result<schema::ResolveReply> fate = co_await target->agent->call<schema::ResolveReply>("resolve", ask, end);
-    if (fate && fate->fate() != schema::TokenRunning) {
-      const schema::ClaimPhase phase = fate->fate() == schema::TokenFinished     ? schema::ClaimFinished
-                                       : fate->fate() == schema::TokenTombstoned ? schema::ClaimVoid
-                                                                                 : schema::ClaimUnknown;
-      co_await endClaim(token, phase, fate->answer(), end);
+    Result<schema::ResolveReply> outcome = co_await target->agent->call<schema::ResolveReply>("resolve", ask, end);
+    if (outcome && outcome->fate() != schema::TokenRunning) {
+      const schema::ClaimPhase phase = outcome->fate() == schema::TokenFinished     ? schema::ClaimFinished
+                                       : outcome->fate() == schema::TokenTombstoned ? schema::ClaimVoid
+                                                                                    : schema::ClaimUnknown;
+      co_await endClaim(token, phase, outcome->answer(), end);
       co_return;
     }
-    co_await sleepFor(milliseconds(internal::AskAgainMs));
+    co_await sleepFor(milliseconds(internal::RetryAfterMs));
   }
 }
 
--- a/Courseloom/src/Entry/RequestPath.h
+++ b/Courseloom/src/Entry/RequestPath.h
@@ -11,18 +11,19 @@
 namespace courseloom {
 
 /** \class RequestPath
- * \brief Brings one caller's request to a target and the whole answer back.
+ * \brief Dispatches callers' requests to targets and returns the complete answers.
  *
- * Work that may be repeated is retried elsewhere under a budget. Work that must not be repeated is claimed in the log
- * first; each step that fails is followed by asking the log or the agent, never by sending the same thing again.
+ * A repeatable request is retried on other targets within a retry budget. A request that must not be repeated is
+ * claimed in the replicated log first. If a step of it fails, the outcome is requested from the log or from the agent;
+ * the run itself is never sent again.
  */
 class RequestPath {
  public:
   RequestPath(const DaemonContext& context, ViewFollower& follower);
 
-  /** Serves a request to its end. \returns the target's answer, or a final failure */
+  /** Serves one request. \returns the target's answer, or the final failure */
   Awaitable<Result<schema::Answer>> serve(RequestContext request);
-  /** \returns requests in flight. */
+  /** \returns the number of requests in flight. */
   std::size_t inFlight() const { return m_inFlight.load(); }
 
  private:
@@ -38,27 +39,27 @@
   Awaitable<Result<schema::Answer>> dispatchClaim(RequestContext& request, TargetPointer target, schema::Token token);
   Awaitable<Result<schema::Answer>> resolveClaim(RequestContext& request, schema::Token token);
   Awaitable<Result<schema::Answer>> concludeClaim(RequestContext& request, schema::Token token,
-                                                  schema::ResolveReply fate);
+                                                  schema::ResolveReply outcome);
   Awaitable<void> endClaim(schema::Token token, schema::ClaimPhase phase, schema::Answer answer, Time deadline);
-  Awaitable<void> settleLater(schema::Token token, TargetPointer target);
+  Awaitable<void> resolveInBackground(schema::Token token, TargetPointer target);
   Awaitable<Result<schema::Answer>> runOn(const RequestContext& request, TargetPointer target,
                                           std::optional<schema::Token> token);
   Result<schema::Answer> readAnswer(const schema::RunReply& reply, const std::string& exchange, const Target& target);
 
   TargetPointer pick(const RequestContext& request, const std::vector<std::string>& tried);
   TargetPointer findTarget(const std::string& service, const std::string& name) const;
-  void noteOutcome(const RequestContext& request, Target& target, const Result<schema::Answer>& answer,
-                   const Failure& failure);
+  void recordOutcome(const RequestContext& request, Target& target, const Result<schema::Answer>& answer,
+                     const Failure& failure);
   bool mayRetry(const Failure& failure, const RequestContext& request);
-  Failure noTarget(const RequestContext& request, const std::optional<Failure>& last) const;
-  void finishTimes(const RequestContext& request, bool answered);
+  Failure noTargetFailure(const RequestContext& request, const std::optional<Failure>& last) const;
+  void recordTimes(const RequestContext& request, bool answered);
 
   DaemonContext m_context;
   ViewFollower& m_follower;
   Router m_router;
   std::atomic<std::size_t> m_inFlight{0};
   std::atomic<std::uint64_t> m_exchanges{1};
-  std::string m_prefix;  ///< of exchange numbers: this process's life
+  std::string m_exchangePrefix;  ///< prefix of exchange ids, unique to this process
 };
 
 }  // namespace courseloom
--- a/daemons/entry.cpp
+++ b/daemons/entry.cpp
@@ -10,10 +10,10 @@
   program.description = "Entry of courseloom: HTTP for callers and operators";
   program.needSections = [](courseloom::schema::Settings& settings) { settings.mutable_entry(); };
   program.makeService = [](const courseloom::DaemonContext& context) {
-    courseloom::EntryEdges edges;
-    edges.answerCaller = courseloom::platform::answerCaller;
-    edges.answerReadiness = courseloom::platform::answerReadiness;
-    return std::make_unique<courseloom::EntryService>(context, std::move(edges));
+    courseloom::EntryProtocol protocol;
+    protocol.answerCaller = courseloom::platform::answerCaller;
+    protocol.answerReadiness = courseloom::platform::answerReadiness;
+    return std::make_unique<courseloom::EntryService>(context, std::move(protocol));
   };
   return courseloom::runDaemon(program, argc, argv);
 }
