--- a/Courseloom/src/Client/EntryClient.cpp
+++ b/Courseloom/src/Client/EntryClient.cpp
@@ -18,6 +18,7 @@
 namespace internal {
 namespace {
 
+/** Largest body of an answer. */
 constexpr std::uint64_t MaxReplyBytes = 256ULL * 1024 * 1024;
 constexpr unsigned FirstErrorStatus = 400;
 
@@ -26,7 +27,7 @@
   return found == object.fields().end() ? std::string() : found->second.string_value();
 }
 
-/** The failure that a problem document tells. */
+/** \returns the failure that a problem document describes, or PeerFailed if the body is not JSON. */
 Failure read_problem(const std::string& entry, unsigned status, const std::string& body) {
   google::protobuf::Struct problem;
   if (!google::protobuf::util::JsonStringToMessage(body, &problem).ok()) {
@@ -112,7 +113,8 @@
     Result<EntryReply> reply = callOne(entry, method, path, body, limit);
     if (reply) return reply;
     last = takeFailure(reply);
-    // With a command id of its own a change may be sent again; anything else only if it surely went nowhere.
+    // Queries, and changes with a command id, may be sent again after PeerFailed; other requests only if they
+    // certainly were not sent.
     const bool unreachable = last.code == FailureCode::PeerUnreachable;
     const bool mayResend = last.code == FailureCode::PeerFailed && (method == "GET" || !m_commandId.empty());
     if (!unreachable && !mayResend) break;
--- a/Courseloom/src/Client/EntryClient.h
+++ b/Courseloom/src/Client/EntryClient.h
@@ -12,22 +12,27 @@
 namespace courseloom {
 
 /** \class EntryReply
- * \brief What an entry answered.
+ * \brief A successful answer of an entry.
  */
 struct EntryReply {
-  unsigned status = 0;
+  unsigned status = 0;  ///< HTTP status
   std::string body;
 };
 
 /** \class EntryClient
- * \brief Blocking HTTP client of the command line; tries the entries it knows in turn.
+ * \brief Blocking HTTP client of the command line. Tries the entries in the given order until one answers.
  */
 class EntryClient {
  public:
-  /** \param entries "address:port" of each entry \param operatorName name under which changes are recorded */
+  /** \param entries "address:port" of each entry
+   * \param operatorName name under which changes are recorded
+   * \param commandId id of the change, under which it may be sent again; empty if it must not be sent again
+   */
   EntryClient(std::vector<std::string> entries, std::string operatorName, std::string commandId);
 
-  /** One exchange. A refusal of the entry becomes the failure that its problem document tells. */
+  /** Sends a request and reads the answer. \param limit longest time for each entry that is tried
+   * \returns the answer, or a failure; a problem document of the entry becomes the failure that it describes
+   */
   Result<EntryReply> call(const std::string& method, const std::string& path, const std::string& body,
                           Duration limit) const;
 
@@ -40,7 +45,7 @@
   std::string m_commandId;
 };
 
-/** \returns text with every byte that has a meaning in a URL escaped. */
+/** \returns text in which every byte except letters, digits, '-', '_' and '.' is percent-encoded. */
 std::string urlEscape(const std::string& text);
 
 }  // namespace courseloom
--- a/Courseloom/src/Client/LogTimeline.cpp
+++ b/Courseloom/src/Client/LogTimeline.cpp
@@ -21,7 +21,7 @@
   return found == object.fields().end() ? std::string() : found->second.string_value();
 }
 
-/** \returns fields in the order of their names, but for those that each line has. */
+/** \returns the fields in the order of their names, without `event` and `process`. */
 std::string fields_of(const Struct& fields) {
   std::map<std::string, std::string> sorted;
   for (const auto& [name, value] : fields.fields()) sorted[name] = value.string_value();
@@ -36,10 +36,10 @@
 }  // namespace internal
 
 void LogTimeline::read(std::istream& log) {
-  for (std::string line; std::getline(log, line);) take(line);
+  for (std::string line; std::getline(log, line);) addLine(line);
 }
 
-void LogTimeline::take(const std::string& line) {
+void LogTimeline::addLine(const std::string& line) {
   const std::size_t begin = line.find('{');
   if (begin == std::string::npos || line.find(m_id) == std::string::npos) return;
   google::protobuf::Struct object;
--- a/Courseloom/src/Client/LogTimeline.h
+++ b/Courseloom/src/Client/LogTimeline.h
@@ -10,27 +10,27 @@
 namespace courseloom {
 
 /** \class LogTimeline
- * \brief Joins lines of several processes' logs that tell of one id, in the order of their times.
+ * \brief Joins the lines of several processes' logs that contain one id, in the order of their times.
  *
- * A line is one JSON object as the daemons write it; what stands before the object, as log collectors add it, is passed
- * over, and so are lines of another form.
+ * A line is one JSON object as the daemons write it. Text before the object, such as a log collector's prefix, is
+ * ignored, and so are lines in another format.
  */
 class LogTimeline {
  public:
-  /** \param id of a workflow, task, target or anything else that fields name */
+  /** \param id id of a workflow, a task, a target or anything else that occurs in log fields */
   explicit LogTimeline(std::string id) : m_id(std::move(id)) {}
 
-  /** Takes one log in. */
+  /** Reads one log to its end. May be called for several logs. */
   void read(std::istream& log);
-  /** \returns one line an event: time, process, event and fields; empty if nothing tells of the id. */
+  /** \returns one line per event: time, process, event and fields; empty if no line contains the id. */
   std::string text() const;
 
  private:
   struct Entry {
-    std::string time;  ///< as written, which sorts by time
+    std::string time;  ///< as written in the log; its text order is its time order
     std::string text;
   };
-  void take(const std::string& line);
+  void addLine(const std::string& line);
 
   std::string m_id;
   std::vector<Entry> m_entries;
--- a/Courseloom/src/Client/Tables.cpp
+++ b/Courseloom/src/Client/Tables.cpp
@@ -34,23 +34,25 @@
          schema::Adjacency_Name(shape.adjacency());
 }
 
-std::string number(double value) {
+std::string one_decimal(double value) {
   char text[32];
   std::snprintf(text, sizeof(text), "%.1f", value);
   return text;
 }
 
-std::string hundredths(double value) {
+std::string two_decimals(double value) {
   char text[32];
   std::snprintf(text, sizeof(text), "%.2f", value);
   return text;
 }
 
+/** A histogram, summed over the series of one family, workspace and class. */
 struct Series {
   std::map<double, double> buckets;  ///< upper bound to cumulative count
   double count = 0;
   double sum = 0;
 
+  /** \returns the upper bound of the bucket that holds the quantile; 0 without buckets. */
   double quantile(double share) const {
     for (const auto& [bound, cumulative] : buckets) {
       if (cumulative >= share * count) return bound;
@@ -66,6 +68,7 @@
   return line.substr(begin, line.find('"', begin) - begin);
 }
 
+/** Adds the sample of one line of the Prometheus text format to its histogram; ignores other lines. */
 void read_line(const std::string& line, std::map<std::vector<std::string>, Series>& all) {
   const std::size_t brace = line.find('{');
   const std::size_t space = line.rfind(' ');
@@ -75,8 +78,8 @@
   const auto ends_with = [&name](const std::string& tail) {
     return name.size() > tail.size() && name.compare(name.size() - tail.size(), tail.size(), tail) == 0;
   };
-  const std::size_t mark = name.rfind('_');
-  Series& series = all[{name.substr(0, mark), label_value(line, "workspace"), label_value(line, "class")}];
+  const std::size_t suffixStart = name.rfind('_');
+  Series& series = all[{name.substr(0, suffixStart), label_value(line, "workspace"), label_value(line, "class")}];
   if (ends_with("_bucket")) {
     const std::string bound = label_value(line, "le");
     if (bound != "+Inf") series.buckets[std::strtod(bound.c_str(), nullptr)] += value;
@@ -141,7 +144,8 @@
 std::string statusTables(const schema::ClusterStatus& status) {
   std::ostringstream text;
   text << "leader: replica " << status.leader() << ", term " << status.term() << ", revision " << status.revision()
-       << ", commit " << status.commit() << ", fragmentation " << internal::number(status.fragmentation()) << "\n\n";
+       << ", commit " << status.commit() << ", fragmentation " << internal::one_decimal(status.fragmentation())
+       << "\n\n";
   internal::Rows replicas{{"REPLICA", "VOTER", "MATCH", "LEADER"}};
   for (const schema::ReplicaStatus& replica : status.replicas()) {
     replicas.push_back({std::to_string(replica.id()), replica.voter() ? "yes" : "no", std::to_string(replica.match()),
@@ -185,8 +189,8 @@
   internal::Rows rows{{"TARGET", "SERVICE", "DATA HALL", "RACK", "OPEN", "RUNS", "TIME FACTOR", "OFF BY UP TO"}};
   for (const schema::TargetStatus& target : status.targets()) {
     rows.push_back({target.id(), target.service(), target.data_hall(), target.rack(), target.open() ? "yes" : "no",
-                    std::to_string(target.runs()), internal::hundredths(target.time_factor()),
-                    internal::hundredths(target.uncertainty())});
+                    std::to_string(target.runs()), internal::two_decimals(target.time_factor()),
+                    internal::two_decimals(target.uncertainty())});
   }
   return formatTable(rows);
 }
@@ -201,8 +205,8 @@
   for (const auto& [key, series] : all) {
     if (series.count == 0) continue;
     rows.push_back({key[0], key[1], key[2], std::to_string(static_cast<long>(series.count)),
-                    internal::number(series.sum / series.count), internal::number(series.quantile(0.5)),
-                    internal::number(series.quantile(0.9)), internal::number(series.quantile(0.99))});
+                    internal::one_decimal(series.sum / series.count), internal::one_decimal(series.quantile(0.5)),
+                    internal::one_decimal(series.quantile(0.9)), internal::one_decimal(series.quantile(0.99))});
   }
   return formatTable(rows);
 }
--- a/Courseloom/src/Entry/OperatorRoutes.cpp
+++ b/Courseloom/src/Entry/OperatorRoutes.cpp
@@ -48,7 +48,7 @@
   return json;
 }
 
-/** \returns the command id of a sendCommand whose caller gave none. */
+/** \returns the command id of a change whose caller gave none. */
 std::string random_id() {
   thread_local std::mt19937_64 generator(std::random_device{}());
   return "c" + std::to_string(generator()) + "-" + std::to_string(generator());
--- a/Courseloom/src/Entry/RequestPath.cpp
+++ b/Courseloom/src/Entry/RequestPath.cpp
@@ -17,7 +17,7 @@
 namespace internal {
 namespace {
 
-/** Added to a request's deadline for calls to agents and for ending claims: an agent answers no temporary than the
+/** Added to a request's deadline for calls to agents and for ending claims: an agent answers no later than the
  * deadline itself, and its answer needs time to arrive. */
 constexpr Duration AnswerGrace = milliseconds(100);
 /** Longest time for which a claim is resolved in the background after its request has failed. */
@@ -45,8 +45,8 @@
   return generator();
 }
 
-/** \returns whether a retry needs no retry budget: the target accepts no work at all, so that another target may accept
- * the request, and the refused attempt cost no work. */
+/** \returns whether a retry needs no retry budget: the target accepts no work at all or cannot be reached. Another
+ * target may accept the request, and the refused attempt cost no work. */
 bool needs_no_budget(const Failure& failure) {
   if (failure.ran != Ran::No) return false;
   return failure.code == FailureCode::Stopping || failure.code == FailureCode::Leaving ||
@@ -350,7 +350,7 @@
   co_return fail(last.value_or(internal::contested_failure()));
 }
 
-/** Serves a request while no target is live: returns the answer of an earlier attempt if the log has one. */
+/** Serves a request while no target is live: answers from the claim of an earlier attempt if the log has one. */
 Awaitable<Result<schema::Answer>> RequestPath::answerWithoutTarget(RequestContext& request) {
   schema::QueryRequest query;
   query.set_kind(schema::QueryClaim);
@@ -414,11 +414,11 @@
                         "its target cannot be asked now; ask again with the same request id",
                         internal::RetryAfterMs};
   if (!target) co_return fail(unknown);
-  schema::ResolveRequest ask;
-  *ask.mutable_token() = token;
-  ask.set_deadline_ms(request.remainingMs());
+  schema::ResolveRequest resolve;
+  *resolve.mutable_token() = token;
+  resolve.set_deadline_ms(request.remainingMs());
   Result<schema::ResolveReply> outcome =
-      co_await target->agent->call<schema::ResolveReply>("resolve", ask, request.deadline + internal::AnswerGrace);
+      co_await target->agent->call<schema::ResolveReply>("resolve", resolve, request.deadline + internal::AnswerGrace);
   if (!outcome) {
     asio::co_spawn(m_context.io, resolveInBackground(token, target), asio::detached);
     co_return fail(unknown);
@@ -466,10 +466,10 @@
 Awaitable<void> RequestPath::resolveInBackground(schema::Token token, TargetPointer target) {
   const Time end = BootClock::now() + internal::BackgroundResolveLimit;
   while (BootClock::now() < end) {
-    schema::ResolveRequest ask;
-    *ask.mutable_token() = token;
-    ask.set_deadline_ms(static_cast<std::uint32_t>(toMilliseconds(end - BootClock::now())));
-    Result<schema::ResolveReply> outcome = co_await target->agent->call<schema::ResolveReply>("resolve", ask, end);
+    schema::ResolveRequest resolve;
+    *resolve.mutable_token() = token;
+    resolve.set_deadline_ms(static_cast<std::uint32_t>(toMilliseconds(end - BootClock::now())));
+    Result<schema::ResolveReply> outcome = co_await target->agent->call<schema::ResolveReply>("resolve", resolve, end);
     if (outcome && outcome->fate() != schema::TokenRunning) {
       const schema::ClaimPhase phase = outcome->fate() == schema::TokenFinished     ? schema::ClaimFinished
                                        : outcome->fate() == schema::TokenTombstoned ? schema::ClaimVoid
--- a/Courseloom/src/Transport/Http2Connection.cpp
+++ b/Courseloom/src/Transport/Http2Connection.cpp
@@ -20,9 +20,11 @@
 namespace internal {
 namespace {
 
+/** Size of a thread's read buffer. */
 constexpr std::size_t ReadBytes = 64U * 1024;
+/** Size at which a batch of outgoing frames is written to the socket. */
 constexpr std::size_t WriteBatchBytes = 256U * 1024;
-/** Of what was written, so much room is kept for the next batch. */
+/** Capacity of the write buffer that is kept for the next batch; a larger buffer is freed after its write. */
 constexpr std::size_t KeptWriteBytes = 4U * 1024;
 constexpr std::uint32_t StreamWindowBytes = 4U * 1024 * 1024;
 constexpr std::int32_t ConnectionWindowBytes = 64 * 1024 * 1024;
@@ -30,7 +32,7 @@
 constexpr unsigned StatusOk = 200;
 constexpr unsigned StatusFailed = 500;
 
-/** \returns a buffer that all connections of this thread read into, one after the other. */
+/** \returns the read buffer of this thread, which all connections served by the thread share in turn. */
 std::vector<std::uint8_t>& thread_buffer() {
   thread_local std::vector<std::uint8_t> buffer(ReadBytes);
   return buffer;
@@ -63,14 +65,14 @@
 
 nghttp2_session_callbacks* Http2Connection::callbacks() {
   static nghttp2_session_callbacks* shared = [] {
-    nghttp2_session_callbacks* made = nullptr;
-    nghttp2_session_callbacks_new(&made);
-    nghttp2_session_callbacks_set_on_begin_headers_callback(made, &Http2Connection::onBeginHeaders);
-    nghttp2_session_callbacks_set_on_header_callback(made, &Http2Connection::onHeader);
-    nghttp2_session_callbacks_set_on_data_chunk_recv_callback(made, &Http2Connection::onData);
-    nghttp2_session_callbacks_set_on_frame_recv_callback(made, &Http2Connection::onFrame);
-    nghttp2_session_callbacks_set_on_stream_close_callback(made, &Http2Connection::onStreamClose);
-    return made;
+    nghttp2_session_callbacks* created = nullptr;
+    nghttp2_session_callbacks_new(&created);
+    nghttp2_session_callbacks_set_on_begin_headers_callback(created, &Http2Connection::onBeginHeaders);
+    nghttp2_session_callbacks_set_on_header_callback(created, &Http2Connection::onHeader);
+    nghttp2_session_callbacks_set_on_data_chunk_recv_callback(created, &Http2Connection::onData);
+    nghttp2_session_callbacks_set_on_frame_recv_callback(created, &Http2Connection::onFrame);
+    nghttp2_session_callbacks_set_on_stream_close_callback(created, &Http2Connection::onStreamClose);
+    return created;
   }();
   return shared;
 }
@@ -96,7 +98,8 @@
   pump();
 }
 
-/** Most connections are silent most of the time: each waits without a buffer, and reads into its thread's. */
+/** Waits for input without a buffer and reads into the buffer of the thread, since most connections are idle most of
+ * the time. */
 Awaitable<void> Http2Connection::readLoop() {
   const auto self = shared_from_this();
   boost::system::error_code failed;
@@ -104,21 +107,22 @@
   while (m_open && !failed) {
     const auto [error] =
         co_await m_socket.async_wait(asio::ip::tcp::socket::wait_read, asio::as_tuple(asio::use_awaitable));
-    if (error || !m_open || !readArrived()) break;
+    if (error || !m_open || !readAvailable()) break;
     pump();
   }
   close();
 }
 
-/** Hands the session what has arrived, at most a buffer of it. \returns whether the connection is still sound */
-bool Http2Connection::readArrived() {
+/** Passes received bytes, at most one buffer of them, to the session. \returns whether the connection is still usable
+ */
+bool Http2Connection::readAvailable() {
   std::vector<std::uint8_t>& buffer = internal::thread_buffer();
   boost::system::error_code error;
   const std::size_t length = m_socket.read_some(asio::buffer(buffer), error);
   if (error == asio::error::would_block) return true;
   if (error) return false;
   m_lastReceived = BootClock::now();
-  // The session takes all of it, so that the next connection may use the buffer.
+  // The session consumes all bytes, so that the next connection may use the buffer.
   return nghttp2_session_mem_recv(m_session, buffer.data(), length) >= 0;
 }
 
@@ -178,7 +182,8 @@
     m_streams.erase(id);
     if (m_open) nghttp2_submit_rst_stream(m_session, NGHTTP2_FLAG_NONE, id, NGHTTP2_CANCEL);
     pump();
-    // Nothing at all came since the call was sent: a silent cut. The next call must open a new connection.
+    // Nothing has been received since the call was sent, so the connection is taken to be broken. The next call must
+    // open a new connection.
     if (m_lastReceived < sentAt) close();
   }
   co_return outcome(*stream, timedOut);
@@ -216,8 +221,9 @@
   } else {
     failure.detail = "the stream ended before its answer was whole";
   }
-  // A peer handles a call once it has the whole of it; a caller that knows that it did not run may send it elsewhere.
-  if (!stream.whole) failure.ran = Ran::No;
+  // A peer handles a call only after it has received all of it. A caller that knows that the call did not run may send
+  // it to another peer.
+  if (!stream.fullySent) failure.ran = Ran::No;
   return fail(std::move(failure));
 }
 
@@ -228,7 +234,7 @@
     co_await asio::post(self->m_socket.get_executor(), asio::use_awaitable);
     self->respond(id, stream, std::move(reply));
   };
-  // The strand only frames; handlers run on the context's threads.
+  // The strand only encodes and decodes frames; handlers run on the threads of the io_context.
   asio::co_spawn(m_io, std::move(run), asio::detached);
 }
 
@@ -284,8 +290,8 @@
   const std::size_t part = std::min(length, stream.outgoing.size() - stream.sent);
   std::memcpy(buffer, stream.outgoing.data() + stream.sent, part);
   stream.sent += part;
-  stream.whole = stream.sent == stream.outgoing.size();
-  if (stream.whole) *flags |= NGHTTP2_DATA_FLAG_EOF;
+  stream.fullySent = stream.sent == stream.outgoing.size();
+  if (stream.fullySent) *flags |= NGHTTP2_DATA_FLAG_EOF;
   return static_cast<ssize_t>(part);
 }
 
--- a/Courseloom/src/Transport/Http2Connection.h
+++ b/Courseloom/src/Transport/Http2Connection.h
@@ -23,27 +23,27 @@
 template <class T>
 using Awaitable = boost::asio::awaitable<T>;
 
-/** Largest message between the system's own processes, bytes. */
+/** Largest message between courseloom's processes, bytes. */
 inline constexpr std::size_t MaxRpcBytes = 96U * 1024 * 1024;
 
 /** \class RpcCall
- * \brief One call as the serving side sees it.
+ * \brief One received call.
  */
 struct RpcCall {
   std::string method;
-  std::string body;
+  std::string body;  ///< serialized request
   std::string peer;  ///< address and port of the caller
 };
 
-/** Answers a call with the bytes of a message, or with a failure that is carried to the caller. */
+/** Handles a call. Returns the serialized reply, or a failure that is sent to the caller. */
 using RpcDispatcher = std::function<Awaitable<Result<std::string>>(RpcCall)>;
 
 /** \class Http2Connection
- * \brief One nghttp2 session over one Asio socket, either side; each call is one stream.
+ * \brief One nghttp2 session on one Asio socket, as client or as server; each call is one stream.
  *
- * Every member runs on the strand of the socket. A call ends whole or with a failure: a stream that closes before its
- * end is PeerFailed with ran unknown, and a stream that the peer refused (it was going away) is ran no.
- * \sa RpcClient, RpcServer
+ * All members must be called on the strand of the socket, unless they say otherwise. A call ends with a complete reply
+ * or with a failure: a stream that closes before its end gives PeerFailed with `ran` unknown; a stream that the peer
+ * refused because it was going away, and a call that was not fully sent, give `ran` no. \sa RpcClient, RpcServer
  */
 class Http2Connection : public std::enable_shared_from_this<Http2Connection> {
  public:
@@ -55,38 +55,41 @@
   Http2Connection(const Http2Connection&) = delete;
   Http2Connection& operator=(const Http2Connection&) = delete;
 
-  /** Begins to read; must run on the strand. */
+  /** Starts to read; must run on the strand. */
   void start();
-  /** Makes one call. \param deadline instant after which the call is given up */
+  /** Makes one call (client side). \param deadline instant at which the call is given up \returns the serialized reply
+   */
   Awaitable<Result<std::string>> call(std::string method, std::string body, Time deadline);
-  /** Tells the peer to open no new streams; streams in flight go on. */
+  /** Sends GOAWAY, so that the peer opens no new streams; streams in flight continue. */
   void goAway();
-  /** Closes at once; calls in flight fail. */
+  /** Closes the connection at once; calls in flight fail. */
   void close();
-  /** \returns whether new calls may be made here. */
+  /** \returns whether new calls may be made: the connection is open, and neither side has sent GOAWAY. */
   bool usable() const { return m_open && !m_goingAway; }
   bool isOpen() const { return m_open; }
-  /** \returns whether a stream is not finished or bytes are not handed to the socket yet; from any thread. */
+  /** \returns whether a stream is unfinished or bytes are not written to the socket yet; may be called from any thread.
+   */
   bool busy() const { return m_busy.load(); }
   boost::asio::any_io_executor executor() { return m_socket.get_executor(); }
 
  private:
   struct Stream {
     std::string method;
-    std::string body;      ///< received
-    std::string outgoing;  ///< to be sent
-    std::size_t sent = 0;
-    bool whole = false;  ///< the end of what is to be sent was handed to the connection
-    unsigned status = 0;
-    bool done = false;
-    bool refused = false;
-    std::unique_ptr<boost::asio::steady_timer> finished;  ///< cancelled when a client's stream ends
+    std::string body;        ///< received
+    std::string outgoing;    ///< to be sent
+    std::size_t sent = 0;    ///< bytes of `outgoing` that have been passed to the session
+    bool fullySent = false;  ///< all of `outgoing` has been passed to the session
+    unsigned status = 0;     ///< HTTP status of the reply; 0 without headers or if the stream closed before its end
+    bool done = false;       ///< the reply is complete, or the stream or the connection has closed
+    bool refused = false;    ///< the peer did not process the stream (REFUSED_STREAM)
+    std::unique_ptr<boost::asio::steady_timer>
+        finished;  ///< expires at the deadline; cancelled when a client's stream ends
   };
   using StreamPointer = std::shared_ptr<Stream>;
 
   void setUpSession();
   Awaitable<void> readLoop();
-  bool readArrived();
+  bool readAvailable();
   void pump();
   void writeMore();
   void onWritten(const boost::system::error_code& error);
--- a/Courseloom/src/Transport/HttpClient.cpp
+++ b/Courseloom/src/Transport/HttpClient.cpp
@@ -25,35 +25,36 @@
       m_peer(address + ":" + std::to_string(port)),
       m_maxIdle(maxIdle) {}
 
-HttpClient::ConnectionPointer HttpClient::takeIdle() {
+HttpClient::ConnectionPointer HttpClient::acquireIdle() {
   const std::lock_guard lock(m_mutex);
   while (!m_idle.empty()) {
     ConnectionPointer connection = std::move(m_idle.back());
     m_idle.pop_back();
-    // A quiet, open connection has nothing to read; end of file or stray bytes mean that it must not be used again.
+    // A reusable idle connection has nothing to read; end of file or unexpected bytes mean that it must not be reused.
     char byte = 0;
     const ssize_t length = ::recv(connection->stream.socket().native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-    const bool quiet = length < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
-    if (quiet && connection->buffer.size() == 0) return connection;
+    const bool noInput = length < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+    if (noInput && connection->buffer.size() == 0) return connection;
   }
   return nullptr;
 }
 
-void HttpClient::putIdle(ConnectionPointer connection) {
+void HttpClient::releaseIdle(ConnectionPointer connection) {
   const std::lock_guard lock(m_mutex);
   connection->idleSince = BootClock::now();
   if (m_idle.size() < m_maxIdle) m_idle.push_back(std::move(connection));
 }
 
-/** A cut that silences connections for good silences all that were open: each of them that is kept costs a call. */
-void HttpClient::dropIdleSince(Time before) {
+/** Closes idle connections that were last used at or before `before`. A network partition that breaks one connection
+ * breaks all that were open then, and each of them that is kept would fail one call. */
+void HttpClient::closeIdleSince(Time before) {
   const std::lock_guard lock(m_mutex);
   std::erase_if(m_idle, [before](const ConnectionPointer& connection) { return connection->idleSince <= before; });
 }
 
 Awaitable<Result<HttpResponse>> HttpClient::exchange(std::string step, HttpRequest request, Duration limit,
                                                      std::uint64_t maxBodyBytes) {
-  ConnectionPointer connection = takeIdle();
+  ConnectionPointer connection = acquireIdle();
   const Time sentAt = BootClock::now();
   const Time deadline = sentAt + limit;
   if (!connection) {
@@ -73,7 +74,7 @@
   const auto [writeError, written] =
       co_await http::async_write(connection->stream, request, asio::as_tuple(asio::use_awaitable));
   if (writeError) {
-    dropIdleSince(sentAt);
+    closeIdleSince(sentAt);
     co_return fail(Failure{FailureCode::TargetFailed, Ran::Unknown, step, m_peer, writeError.message(), 0});
   }
   http::response_parser<http::string_body> parser;
@@ -81,14 +82,14 @@
   const auto [readError, readBytes] =
       co_await http::async_read(connection->stream, connection->buffer, parser, asio::as_tuple(asio::use_awaitable));
   if (readError) {
-    dropIdleSince(sentAt);
+    closeIdleSince(sentAt);
     Failure failure{FailureCode::TargetFailed, Ran::Unknown, step, m_peer, readError.message(), 0};
     if (readError == http::error::partial_message || parser.got_some()) failure.code = FailureCode::AnswerIncomplete;
     if (readError == http::error::body_limit) failure.code = FailureCode::BodyTooLarge;
     co_return fail(std::move(failure));
   }
   HttpResponse response = parser.release();
-  if (response.keep_alive()) putIdle(std::move(connection));
+  if (response.keep_alive()) releaseIdle(std::move(connection));
   co_return response;
 }
 
--- a/Courseloom/src/Transport/HttpClient.h
+++ b/Courseloom/src/Transport/HttpClient.h
@@ -15,17 +15,22 @@
 namespace courseloom {
 
 /** \class HttpClient
- * \brief Speaks HTTP/1.1 to one outside peer over kept connections; one exchange on a connection at a time.
+ * \brief HTTP/1.1 client of one peer outside courseloom, with a pool of idle connections.
  *
- * A failure before anything was sent is ran no; after that, ran unknown. An answer that is cut is AnswerIncomplete,
- * never a short success. Safe from any thread.
+ * A connection carries one exchange at a time. A failure to connect has `ran` no; any later failure has `ran` unknown.
+ * A truncated answer is reported as AnswerIncomplete, never as a shorter answer. All members may be called from any
+ * thread.
  */
 class HttpClient {
  public:
-  /** \param maxIdle connections kept open between exchanges */
+  /** \param maxIdle largest number of connections kept open between exchanges; 0 keeps none */
   HttpClient(boost::asio::io_context& io, std::string address, unsigned port, std::size_t maxIdle);
 
-  /** One exchange. \param step name of the step for failures \param limit time for all of it */
+  /** Sends a request and reads the answer.
+   * \param step name of the step in failures
+   * \param limit time for the whole exchange, with connecting
+   * \param maxBodyBytes largest body of the answer; a larger one is BodyTooLarge
+   */
   Awaitable<Result<HttpResponse>> exchange(std::string step, HttpRequest request, Duration limit,
                                            std::uint64_t maxBodyBytes);
   const std::string& peer() const { return m_peer; }
@@ -39,9 +44,9 @@
   };
   using ConnectionPointer = std::unique_ptr<Connection>;
 
-  ConnectionPointer takeIdle();
-  void putIdle(ConnectionPointer connection);
-  void dropIdleSince(Time before);
+  ConnectionPointer acquireIdle();
+  void releaseIdle(ConnectionPointer connection);
+  void closeIdleSince(Time before);
 
   boost::asio::io_context& m_io;
   boost::asio::ip::tcp::endpoint m_endpoint;
--- a/Courseloom/src/Transport/HttpServer.cpp
+++ b/Courseloom/src/Transport/HttpServer.cpp
@@ -26,7 +26,8 @@
 namespace internal {
 namespace {
 
-/** The failure to report for a request that could not be read, or nothing if the caller is simply gone. */
+/** \returns the failure to answer for a request that could not be read, or nothing if the connection was closed,
+ * failed or timed out. */
 std::optional<Failure> read_failure(const beast::error_code& error, const std::string& peer) {
   Failure failure{FailureCode::BadRequest, Ran::No, "read request", peer, error.message(), 0};
   if (error == http::error::header_limit || error == http::error::buffer_overflow) {
--- a/Courseloom/src/Transport/Listen.cpp
+++ b/Courseloom/src/Transport/Listen.cpp
@@ -33,10 +33,10 @@
   return acceptor.local_endpoint().port();
 }
 
-void limitSilence(int socket) {
-  constexpr unsigned SilenceMs = 2000;
-  // A socket that cannot be set so still ends with its calls' deadlines.
-  ::setsockopt(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, &SilenceMs, sizeof(SilenceMs));
+void setUserTimeout(int socket) {
+  constexpr unsigned UserTimeoutMs = 2000;
+  // If the option cannot be set, the deadlines of the calls still detect a broken connection.
+  ::setsockopt(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, &UserTimeoutMs, sizeof(UserTimeoutMs));
 }
 
 boost::asio::awaitable<void> pauseAccept(asio::io_context& io) {
--- a/Courseloom/src/Transport/Listen.h
+++ b/Courseloom/src/Transport/Listen.h
@@ -13,20 +13,22 @@
 namespace courseloom {
 
 /** \class Endpoint
- * \brief An IP number and a port.
+ * \brief An IP address and a port.
  */
 struct Endpoint {
   std::string address;
   unsigned port = 0;
 };
 
-/** Takes an endpoint apart that the settings' check has passed. \param text IP number, colon, port */
+/** Splits an endpoint that the check of the settings has accepted. \param text IP address, colon, port */
 Endpoint splitEndpoint(const std::string& text);
-/** Opens, binds and listens. \returns the port in use, which the system picks where `port` is 0 */
+/** Opens and binds an acceptor and listens. \param port port, or 0 for a free one \returns the port in use */
 Result<unsigned> listenOn(boost::asio::ip::tcp::acceptor& acceptor, const std::string& address, unsigned port);
-/** Makes a connection end when what it sent stays unanswered for a while, so that a silent cut does not hold it. */
-void limitSilence(int socket);
-/** Waits a moment after a failed accept (no file descriptors left, say), so that the loop does not spin. */
+/** Makes the kernel close a connection whose sent data stays unacknowledged for 2 s (TCP_USER_TIMEOUT), so that a
+ * network partition that drops packets silently does not keep it open. */
+void setUserTimeout(int socket);
+/** Waits 20 ms after a failed accept, for instance when no file descriptors are left, so that the accept loop does not
+ * spin. */
 boost::asio::awaitable<void> pauseAccept(boost::asio::io_context& io);
 
 }  // namespace courseloom
--- a/Courseloom/src/Transport/RpcClient.cpp
+++ b/Courseloom/src/Transport/RpcClient.cpp
@@ -17,7 +17,7 @@
 
 namespace internal {
 namespace {
-/** Longest wait for a connection, so that a dead peer is found before a long deadline. */
+/** Longest wait for a connection, so that a dead peer is detected before a long deadline ends. */
 constexpr Duration ConnectLimit = milliseconds(500);
 }  // namespace
 }  // namespace internal
@@ -42,13 +42,13 @@
   co_return co_await held->call(std::move(method), std::move(body), deadline);
 }
 
-/** Waits until the attempt under way has ended, but no longer than the call's own time. */
+/** Waits until the connection attempt in progress has ended, but at most until the call's own deadline. */
 Awaitable<void> RpcClient::waitForAttempt(Time deadline) {
   asio::steady_timer timer(m_strand);
   timer.expires_after(std::max(deadline - BootClock::now(), Duration(0)));
-  m_waiting.insert(&timer);
+  m_connectWaiters.insert(&timer);
   co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
-  m_waiting.erase(&timer);
+  m_connectWaiters.erase(&timer);
 }
 
 Awaitable<Result<RpcClient::ConnectionPointer>> RpcClient::connect(const std::string& step, Time deadline) {
@@ -63,7 +63,7 @@
   const asio::ip::tcp::endpoint endpoint(asio::ip::make_address(m_address), static_cast<std::uint16_t>(m_port));
   const auto [error] = co_await stream.async_connect(endpoint, asio::as_tuple(asio::use_awaitable));
   m_connecting = false;
-  for (asio::steady_timer* waiting : m_waiting) waiting->cancel();
+  for (asio::steady_timer* waiting : m_connectWaiters) waiting->cancel();
   if (error) {
     Failure failure = unreachable;
     failure.detail = "cannot connect: " + error.message();
@@ -71,7 +71,7 @@
   }
   asio::ip::tcp::socket socket = stream.release_socket();
   socket.set_option(asio::ip::tcp::no_delay(true));
-  limitSilence(socket.native_handle());
+  setUserTimeout(socket.native_handle());
   m_connection = std::make_shared<Http2Connection>(m_io, std::move(socket), Http2Connection::Side::Client, m_peer);
   m_connection->start();
   co_return m_connection;
--- a/Courseloom/src/Transport/RpcClient.h
+++ b/Courseloom/src/Transport/RpcClient.h
@@ -14,19 +14,25 @@
 namespace courseloom {
 
 /** \class RpcClient
- * \brief Calls one peer; connects when needed, and anew after a failure, a GOAWAY or a silent cut.
+ * \brief Client of one peer's RPC server.
  *
- * Safe from any thread. A failure before the call left is ran no; after that it is ran unknown.
+ * Connects when a call needs it, and again after a failure, a GOAWAY or a call during which nothing was received. All
+ * members may be called from any thread. A call that fails before it was fully sent has `ran` no; one that fails later
+ * has `ran` unknown, unless the peer's failure says more.
  * \sa RpcServer
  */
 class RpcClient : public std::enable_shared_from_this<RpcClient> {
  public:
   RpcClient(boost::asio::io_context& io, std::string address, unsigned port);
 
-  /** Calls with bytes. \param deadline instant after which the call is given up */
+  /** Makes one call.
+   * \param body serialized request
+   * \param deadline instant at which the call is given up
+   * \returns the serialized reply
+   */
   Awaitable<Result<std::string>> callBytes(std::string method, std::string body, Time deadline);
 
-  /** Calls with a message and reads the reply's message. */
+  /** Makes one call with a protobuf message and parses the reply. \param deadline as for callBytes() */
   template <class Reply, class Request>
   Awaitable<Result<Reply>> call(std::string method, const Request& request, Time deadline) {
     std::string body = request.SerializeAsString();
@@ -66,7 +72,8 @@
   std::string m_peer;
   ConnectionPointer m_connection;
   bool m_connecting = false;
-  std::set<boost::asio::steady_timer*> m_waiting;  ///< calls that wait for the attempt to connect
+  std::set<boost::asio::steady_timer*>
+      m_connectWaiters;  ///< timers of calls that wait for the connection attempt in progress
 };
 
 }  // namespace courseloom
--- a/Courseloom/src/Transport/RpcServer.cpp
+++ b/Courseloom/src/Transport/RpcServer.cpp
@@ -20,8 +20,8 @@
 
 namespace internal {
 namespace {
-/** Fewer connections are not looked through for those that are gone. */
-constexpr std::size_t LeastToForget = 16;
+/** Expired connections are not removed while fewer than twice this number are registered. */
+constexpr std::size_t MinToPrune = 16;
 }  // namespace
 }  // namespace internal
 
@@ -42,23 +42,24 @@
     }
     boost::system::error_code ignored;
     socket.set_option(asio::ip::tcp::no_delay(true), ignored);
-    limitSilence(socket.native_handle());
+    setUserTimeout(socket.native_handle());
     const auto remote = socket.remote_endpoint(ignored);
     const std::string peer = remote.address().to_string() + ":" + std::to_string(remote.port());
     const auto connection =
         std::make_shared<Http2Connection>(m_io, std::move(socket), Http2Connection::Side::Server, peer,
                                           [this](RpcCall call) { return dispatch(std::move(call)); });
-    remember(connection);
+    registerConnection(connection);
     asio::dispatch(connection->executor(), [connection] { connection->start(); });
   }
 }
 
-/** All are looked at only when their number has doubled since the last time: hundreds of peers may connect at once. */
-void RpcServer::remember(const std::shared_ptr<Http2Connection>& connection) {
+/** Registers a connection. Expired connections are removed only when the number of registered ones has doubled since
+ * the last removal, since hundreds of peers may connect at once. */
+void RpcServer::registerConnection(const std::shared_ptr<Http2Connection>& connection) {
   const std::lock_guard lock(m_mutex);
-  if (m_connections.size() >= m_forgetAt) {
+  if (m_connections.size() >= m_pruneAt) {
     std::erase_if(m_connections, [](const auto& weak) { return weak.expired(); });
-    m_forgetAt = 2 * std::max(internal::LeastToForget, m_connections.size());
+    m_pruneAt = 2 * std::max(internal::MinToPrune, m_connections.size());
   }
   m_connections.insert(connection);
 }
@@ -79,10 +80,10 @@
   for (const auto& weak : m_connections) {
     const auto connection = weak.lock();
     if (!connection) continue;
-    ++m_farewells;
+    ++m_pendingGoAways;
     asio::dispatch(connection->executor(), [this, connection] {
       connection->goAway();
-      --m_farewells;
+      --m_pendingGoAways;
     });
   }
 }
@@ -93,7 +94,7 @@
     const auto connection = weak.lock();
     return connection && connection->busy();
   });
-  return m_inFlight.load() + m_farewells.load() + static_cast<std::size_t>(busy);
+  return m_inFlight.load() + m_pendingGoAways.load() + static_cast<std::size_t>(busy);
 }
 
 std::size_t RpcServer::connections() {
--- a/Courseloom/src/Transport/RpcServer.h
+++ b/Courseloom/src/Transport/RpcServer.h
@@ -15,16 +15,18 @@
 namespace courseloom {
 
 /** \class RpcServer
- * \brief Serves the system's own protocol: protobuf messages, one nghttp2 stream a call.
+ * \brief Serves the RPC protocol between courseloom's processes: protobuf messages, one HTTP/2 stream per call.
  *
- * Handlers are registered before start() and run on the context's threads.
+ * Handlers must be registered before start(). They run on the threads of the io_context.
  * \sa RpcClient
  */
 class RpcServer {
  public:
   explicit RpcServer(boost::asio::io_context& io) : m_io(io), m_acceptor(io) {}
 
-  /** Registers a handler: Awaitable<Result<Reply>>(Request, std::string peer). */
+  /** Registers the handler of a method.
+   * \param handler callable of the form Awaitable<Result<Reply>>(Request, std::string peer)
+   */
   template <class Request, class Handler>
   void handle(const std::string& method, Handler handler) {
     m_handlers[method] = [method, handler](RpcCall call) -> Awaitable<Result<std::string>> {
@@ -38,31 +40,31 @@
     };
   }
 
-  /** Listens. \returns the port in use */
+  /** Starts to listen. \param port port, or 0 for a free one \returns the port in use */
   Result<unsigned> start(const std::string& address, unsigned port);
-  /** Closes the listener and tells every peer to go away; calls in flight go on. */
+  /** Closes the listener and sends GOAWAY to every peer; calls in flight continue. */
   void goAway();
-  /** \returns calls in flight, and connections with answers or a farewell that the socket has not taken yet: a process
-   * that ended before would leave those calls in doubt. */
+  /** \returns the number of calls in flight, of connections that still have streams or unsent bytes, and of GOAWAYs not
+   * submitted yet. If the process ended before this is 0, callers would not know the outcome of their calls. */
   std::size_t inFlight();
-  /** \returns connections that are open. */
+  /** \returns the number of open connections. */
   std::size_t connections();
-  /** Closes every connection. */
+  /** Closes the listener and every connection; calls in flight fail. */
   void close();
 
  private:
   Awaitable<void> acceptLoop();
-  void remember(const std::shared_ptr<Http2Connection>& connection);
+  void registerConnection(const std::shared_ptr<Http2Connection>& connection);
   Awaitable<Result<std::string>> dispatch(RpcCall call);
 
   boost::asio::io_context& m_io;
   boost::asio::ip::tcp::acceptor m_acceptor;
   std::map<std::string, RpcDispatcher> m_handlers;
   std::atomic<std::size_t> m_inFlight{0};
-  std::atomic<std::size_t> m_farewells{0};  ///< connections that goAway() has not reached yet
+  std::atomic<std::size_t> m_pendingGoAways{0};  ///< connections whose GOAWAY is scheduled but not submitted yet
   std::mutex m_mutex;
   std::set<std::weak_ptr<Http2Connection>, std::owner_less<>> m_connections;
-  std::size_t m_forgetAt = 0;  ///< so many connections are known when those that are gone are next forgotten
+  std::size_t m_pruneAt = 0;  ///< number of registered connections at which expired ones are next removed
 };
 
 }  // namespace courseloom
--- a/daemons/cli.cpp
+++ b/daemons/cli.cpp
@@ -1,7 +1,7 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// The operators' command line: reads arguments, calls an entry over HTTP, prints tables, JSON or YAML.
+// The operators' command line: reads arguments, calls an entry over HTTP and prints tables, JSON or YAML.
 
 #include <google/protobuf/util/json_util.h>
 
@@ -24,7 +24,9 @@
 
 enum CliExit : int { CliOk = 0, CliRefused = 1, CliUsage = 2, CliBadFile = 3, CliUnreachable = 4, CliTimedOut = 5 };
 
+/** Longest time for a call at one entry. */
 constexpr Duration CallLimit = milliseconds(15000);
+/** Interval between status queries of `apply --wait`. */
 constexpr Duration PollInterval = milliseconds(50);
 
 struct CliOptions {
@@ -53,6 +55,7 @@
   bool dryRun = false;
 };
 
+/** Prints a failure to stderr. \returns the exit code */
 int report(const Failure& failure) {
   std::cerr << "courseloom: " << failure.text() << " (ran: " << ranName(failure.ran) << ")\n";
   if (failure.code == FailureCode::BadSettings) return CliBadFile;
@@ -84,12 +87,12 @@
 }
 
 /** \class Cli
- * \brief The commands, each a method that returns the exit code.
+ * \brief The commands. Each public method runs one and returns the exit code.
  */
 class Cli {
  public:
   explicit Cli(CliOptions options) : m_options(std::move(options)) {
-    // Every change has a command id, so that it may be sent again through another entry.
+    // Every change has a command id, so that it can be sent again through another entry without taking effect twice.
     const std::string id = m_options.commandId.empty() ? randomCommandId() : m_options.commandId;
     m_client = std::make_unique<EntryClient>(m_options.entries, m_options.operatorName, id);
   }
@@ -101,7 +104,7 @@
     if (const std::optional<int> code = call("POST", "/v1/objects", toJson(file), reply)) return *code;
     const std::string first = reply.replayed() ? " (first answer of a resent command)" : "";
     print(m_options, reply, "accepted at revision " + std::to_string(reply.revision()) + first + "\n");
-    return m_options.wait ? waitInForce(reply.revision()) : CliOk;
+    return m_options.wait ? waitUntilInForce(reply.revision()) : CliOk;
   }
 
   int get() {
@@ -130,7 +133,7 @@
     return CliOk;
   }
 
-  int act(schema::ActionKind kind) {
+  int runAction(schema::ActionKind kind) {
     schema::Action action;
     action.set_kind(kind);
     action.set_selector(m_options.selector);
@@ -241,7 +244,7 @@
   }
 
  private:
-  /** Calls and reads the reply. \returns an exit code on failure */
+  /** Calls an entry and parses its reply. \param extra time beyond CallLimit \returns an exit code on failure */
   std::optional<int> call(const std::string& method, const std::string& path, const std::string& body,
                           google::protobuf::Message& reply, Duration extra = Duration(0)) {
     Result<EntryReply> answer = m_client->call(method, path, body, CallLimit + extra);
@@ -253,6 +256,7 @@
         Failure{FailureCode::PeerFailed, Ran::Unknown, "read answer", "", "the entry's answer cannot be read", 0});
   }
 
+  /** Reads the YAML file of the command. \returns an exit code on failure */
   std::optional<int> readFile(google::protobuf::Message& message) const {
     Result<void> read = readYamlFile(m_options.file, message);
     if (read) read = checkRequired(m_options.file, message);
@@ -260,6 +264,7 @@
     return std::nullopt;
   }
 
+  /** Reads the shape from the options. \returns whether it is valid */
   bool readShape(schema::Shape& shape) const {
     schema::Adjacency adjacency = schema::Anywhere;
     if (!schema::Adjacency_Parse(m_options.adjacency, &adjacency)) {
@@ -274,23 +279,24 @@
     return true;
   }
 
-  int waitInForce(std::uint64_t revision) {
+  /** Waits until every live node has reached a revision, at most for the time-out. \returns the exit code */
+  int waitUntilInForce(std::uint64_t revision) {
     const Time end = BootClock::now() + milliseconds(static_cast<std::int64_t>(m_options.timeoutMs));
-    std::string behind;
+    std::string laggingNodes;
     while (BootClock::now() < end) {
       schema::QueryReply reply;
       if (const std::optional<int> code = call("GET", "/v1/status", "", reply)) return *code;
-      behind.clear();
+      laggingNodes.clear();
       for (const schema::NodeStatus& node : reply.status().nodes()) {
-        if (node.revision() < revision) behind += " " + node.name();
+        if (node.revision() < revision) laggingNodes += " " + node.name();
       }
-      if (behind.empty()) {
+      if (laggingNodes.empty()) {
         std::cout << "in force on " << reply.status().nodes_size() << " nodes\n";
         return CliOk;
       }
       std::this_thread::sleep_for(PollInterval);
     }
-    std::cerr << "courseloom: not yet in force on:" << behind << "\n";
+    std::cerr << "courseloom: not yet in force on:" << laggingNodes << "\n";
     return CliTimedOut;
   }
 
@@ -352,7 +358,7 @@
     if (kind == schema::Prioritise)
       command->add_option("--urgency", options.urgency, "Low, Normal or Urgent")->required();
     if (kind == schema::Reshape) addShapeOptions(*command, options);
-    choose(command, [action = kind](Cli& cli) { return cli.act(action); });
+    choose(command, [action = kind](Cli& cli) { return cli.runAction(action); });
   }
   CLI::App* submit = app.add_subcommand("submit", "Submit a job");
   submit->add_option("-f,--file", options.file, "YAML file")->required();
--- a/daemons/control.cpp
+++ b/daemons/control.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-courseloom::Result<std::string> perform(const courseloom::schema::Settings& settings, const std::string& command) {
+courseloom::Result<std::string> runFolderCommand(const courseloom::schema::Settings& settings,
+                                                 const std::string& command) {
   if (command == "inspect") return courseloom::inspectFolder(settings);
   if (command == "recover") return courseloom::recoverFolder(settings);
   BOOST_LEAF_CHECK(courseloom::initialiseFounder(settings));
@@ -17,7 +18,7 @@
 }
 
 std::optional<int> runCommand(const courseloom::schema::Settings& settings, const std::string& command) {
-  courseloom::Result<std::string> done = perform(settings, command);
+  courseloom::Result<std::string> done = runFolderCommand(settings, command);
   if (!done) {
     std::cerr << "courseloom-control: " << courseloom::takeFailure(done).text() << "\n";
     return courseloom::ExitStorage;
@@ -34,7 +35,7 @@
   program.description = "Control replica of courseloom: the replicated log and the decisions of its leader";
   program.needSections = [](courseloom::schema::Settings& settings) {
     settings.mutable_control();
-    // Gangs need workers; workflows alone run through the agents.
+    // Gangs run on a platform's workers and need its settings; workflows run through agents and do not.
     if (!settings.has_edge()) settings.mutable_platform();
   };
   program.commands = {
@@ -45,10 +46,10 @@
   };
   program.runCommand = runCommand;
   program.makeService = [](const courseloom::DaemonContext& context) {
-    courseloom::ControlEdges edges;
-    edges.makeAdvice = courseloom::platform::makeAdvicePort;
-    edges.answerOperator = courseloom::platform::answerOperator;
-    return std::make_unique<courseloom::ControlService>(context, std::move(edges));
+    courseloom::ControlEdges protocol;
+    protocol.makeAdvice = courseloom::platform::makeAdvicePort;
+    protocol.answerOperator = courseloom::platform::answerOperator;
+    return std::make_unique<courseloom::ControlService>(context, std::move(protocol));
   };
   return courseloom::runDaemon(program, argc, argv);
 }
