--- a/Courseloom/src/Metrics/Histograms.cpp
+++ b/Courseloom/src/Metrics/Histograms.cpp
@@ -8,9 +8,10 @@
 namespace courseloom {
 namespace internal {
 namespace {
+// Logarithmic axis of durations.
 constexpr unsigned TimeBins = 60;
 constexpr double ShortestMs = 0.05;
-constexpr double LongestMs = 36.0e6;
+constexpr double LongestMs = 36.0e6;  // 10 h
 }  // namespace
 }  // namespace internal
 
@@ -48,9 +49,9 @@
     const int className = classes.index(key.second);
     double total = 0;
     for (int bin = 0; bin < times.size(); ++bin) {
-      const double here = family.bins.at(workspace, className, bin);
-      total += here;
-      if (here > 0) {
+      const double binCount = family.bins.at(workspace, className, bin);
+      total += binCount;
+      if (binCount > 0) {
         text << "courseloom_" << name << "_bucket{" << labels << ",le=\"" << times.bin(bin).upper() << "\"} " << total
              << "\n";
       }
--- a/Courseloom/src/Metrics/Histograms.h
+++ b/Courseloom/src/Metrics/Histograms.h
@@ -17,21 +17,22 @@
 namespace courseloom {
 
 /** \class Histograms
- * \brief Times by workspace and class, and counters; printed in the Prometheus text format.
+ * \brief Histograms of durations by workspace and class, counters and gauges, in the Prometheus text format.
  *
- * Values are milliseconds on a logarithmic axis from 0.05 ms to 10 h. Safe from any thread; each family has its own
- * lock, held for one bin's update. The number of series a family holds is bounded, since workspace names come from
- * callers only after they were found in the configuration.
+ * Durations are in milliseconds, on a logarithmic axis from 0.05 ms to 10 h; shorter ones are counted in the first bin.
+ * Thread-safe: one lock guards all families and is held for one update or one printing. The number of series of a
+ * family is bounded, since a workspace name of a caller is recorded only after it was found in the configuration.
  */
 class Histograms {
  public:
-  /** Records one duration. \param family metric name without prefix, such as "request_ms" */
+  /** Records one duration. \param family metric name without prefix, such as "request_ms" \param ms duration in
+   * milliseconds */
   void record(const std::string& family, const std::string& workspace, const std::string& className, double ms);
-  /** Adds to a counter with one label value. */
+  /** Adds to a counter. \param label value of the counter's label "kind" */
   void count(const std::string& family, const std::string& label, std::uint64_t add = 1);
-  /** Sets a gauge. */
+  /** Sets a gauge. \param family metric name without prefix */
   void set(const std::string& family, double value);
-  /** \returns everything in the Prometheus text format. */
+  /** \returns all metrics in the Prometheus text format. */
   std::string prometheus() const;
 
  private:
@@ -45,6 +46,7 @@
     std::map<std::pair<std::string, std::string>, double> sums;
   };
 
+  /** Appends one histogram to a text; buckets without a value are left out. */
   static void print(const std::string& name, const Family& family, std::string& out);
 
   mutable std::mutex m_mutex;
--- a/Courseloom/src/Platform/Platform.cpp
+++ b/Courseloom/src/Platform/Platform.cpp
@@ -15,6 +15,7 @@
 constexpr std::size_t IdleConnections = 16;
 constexpr std::uint64_t MaxReportBytes = 64ULL * 1024 * 1024;
 
+/** Parses a message; unknown fields are ignored. */
 template <class Message>
 Result<Message> read_json(const std::string& step, const std::string& peer, const std::string& json) {
   Message message;
@@ -25,7 +26,8 @@
   return fail(Failure{FailureCode::PlatformFailed, Ran::Unknown, step, peer, std::string(status.message()), 0});
 }
 
-/** Reads the body of an answer whose status is 200. Any other status says nothing of what was asked. */
+/** Parses the body of an answer with status 200. Any other status leaves open whether the request was carried out, so
+ * it is a failure with Ran::Unknown. */
 template <class Message>
 Result<Message> read_answer(const std::string& step, const std::string& peer, Result<HttpResponse> response) {
   if (!response) {
--- a/Courseloom/src/Runtime/ChangeSignal.h
+++ b/Courseloom/src/Runtime/ChangeSignal.h
@@ -13,15 +13,15 @@
 namespace courseloom {
 
 /** \class ChangeSignal
- * \brief Lets many coroutines on one strand wait until something changes.
+ * \brief Condition that any number of coroutines on one strand can wait for. All use must be on that strand.
  */
 class ChangeSignal {
  public:
-  /** Wakes all that wait now. */
+  /** Resumes all coroutines that are waiting. Without any, the call has no effect; it is not stored. */
   void notify() {
     for (boost::asio::steady_timer* timer : m_waiting) timer->cancel();
   }
-  /** Waits for the next notify() or a deadline. */
+  /** Waits for the next notify() or until the deadline. The caller can't see which of them ended the wait. */
   Awaitable<void> wait(Time deadline) {
     boost::asio::steady_timer timer(co_await boost::asio::this_coro::executor);
     timer.expires_after(std::max(deadline - BootClock::now(), Duration(0)));
--- a/Courseloom/src/Runtime/Daemon.cpp
+++ b/Courseloom/src/Runtime/Daemon.cpp
@@ -26,15 +26,17 @@
 namespace internal {
 namespace {
 
-constexpr Duration DrainLook = milliseconds(5);
-constexpr Duration SettingsLook = milliseconds(1000);
+/** Interval at which drainToZero polls its count. */
+constexpr Duration DrainPollInterval = milliseconds(5);
+/** Interval at which the settings files are compared with the settings in use. */
+constexpr Duration SettingsPollInterval = milliseconds(1000);
 
 int report_failure(const std::string& program, const Failure& failure, int exitCode) {
   std::cerr << program << ": " << failure.text() << "\n";
   return exitCode;
 }
 
-/** Checks what spans several keys. */
+/** Checks the rules that involve several keys. */
 Result<void> check_cluster(const std::string& file, const schema::Settings& settings) {
   const schema::ClusterSettings& cluster = settings.cluster();
   const auto refuse = [&file](const std::string& detail) -> Result<void> {
@@ -53,7 +55,7 @@
   return {};
 }
 
-/** In one write: the log's own thread writes to the same file. */
+/** Prints the ready line with a single write(), because the log's own thread writes to the same file. */
 void print_ready(const schema::NodeSettings& node, const Listening& listening) {
   std::ostringstream line;
   line << "ready name=" << node.name();
@@ -63,6 +65,7 @@
   if (::write(STDOUT_FILENO, text.data(), text.size()) < 0) std::cerr << "cannot write to standard output\n";
 }
 
+/** Waits for SIGTERM or SIGINT, drains the service and stops the event loop. */
 Awaitable<void> stop_on_signal(asio::io_context& io, asio::signal_set& signals, Service& service) {
   co_await signals.async_wait(asio::as_tuple(asio::use_awaitable));
   logEvent(schema::ProcessStopping);
@@ -71,13 +74,14 @@
   io.stop();
 }
 
-/** \returns the text of all settings files, to see whether they changed. */
+/** \returns the texts of all settings files, which are compared to detect changes. */
 std::string read_texts(const std::vector<std::string>& files) {
   std::ostringstream texts;
   for (const std::string& file : files) texts << std::ifstream(file).rdbuf();
   return texts.str();
 }
 
+/** Reads the files again and passes the settings to the service. Invalid settings are logged and not applied. */
 void reload_settings(const DaemonProgram& program, const std::vector<std::string>& files, Service& service) {
   Result<schema::Settings> settings = readSettings(files, program.needSections);
   if (!settings) return logFailure(schema::SettingsRefused, takeFailure(settings));
@@ -85,30 +89,31 @@
   service.reload(*settings);
 }
 
-/** Reloads on SIGHUP, and when the files change without it. */
+/** Reloads the settings on SIGHUP and when a file has changed. Both are polled every SettingsPollInterval. */
 Awaitable<void> reload_on_change(const DaemonProgram& program, const std::vector<std::string>& files,
                                  Service& service) {
-  asio::signal_set hangUp(co_await asio::this_coro::executor, SIGHUP);
+  asio::signal_set hangupSignals(co_await asio::this_coro::executor, SIGHUP);
   bool signalled = false;
   std::function<void()> listen = [&] {
-    hangUp.async_wait([&](const boost::system::error_code& error, int) {
+    hangupSignals.async_wait([&](const boost::system::error_code& error, int) {
       if (error) return;
       signalled = true;
       listen();
     });
   };
   listen();
-  std::string inForce = read_texts(files);
+  std::string currentTexts = read_texts(files);
   while (true) {
-    co_await sleepFor(SettingsLook);
+    co_await sleepFor(SettingsPollInterval);
     std::string texts = read_texts(files);
-    if (!signalled && texts == inForce) continue;
+    if (!signalled && texts == currentTexts) continue;
     signalled = false;
-    inForce = std::move(texts);
+    currentTexts = std::move(texts);
     reload_settings(program, files, service);
   }
 }
 
+/** Runs the service until it is stopped. \returns the exit code */
 int serve(const DaemonProgram& program, const schema::Settings& settings, const std::vector<std::string>& files) {
   asio::io_context io;
   Histograms metrics;
@@ -120,8 +125,8 @@
     const Failure failure = takeFailure(listening);
     logFailure(schema::ProcessFailed, failure);
     const bool storage = failure.code == FailureCode::StorageDamaged || failure.code == FailureCode::StorageFull;
-    const bool wrongSettings = failure.code == FailureCode::BadSettings;
-    return report_failure(program.name, failure, storage ? ExitStorage : wrongSettings ? ExitSettings : ExitListen);
+    const bool badSettings = failure.code == FailureCode::BadSettings;
+    return report_failure(program.name, failure, storage ? ExitStorage : badSettings ? ExitSettings : ExitListen);
   }
   asio::co_spawn(io, stop_on_signal(io, signals, *service), asio::detached);
   asio::co_spawn(io, reload_on_change(program, files, *service), asio::detached);
@@ -207,7 +212,7 @@
 
 Awaitable<std::size_t> drainToZero(std::function<std::size_t()> count, Duration limit) {
   const Time end = BootClock::now() + limit;
-  while (count() > 0 && BootClock::now() < end) co_await sleepFor(internal::DrainLook);
+  while (count() > 0 && BootClock::now() < end) co_await sleepFor(internal::DrainPollInterval);
   co_return count();
 }
 
--- a/Courseloom/src/Runtime/Daemon.h
+++ b/Courseloom/src/Runtime/Daemon.h
@@ -26,7 +26,7 @@
 };
 
 /** \class DaemonContext
- * \brief What every daemon's service is given.
+ * \brief Objects that a daemon passes to its service. They outlive the service.
  */
 struct DaemonContext {
   boost::asio::io_context& io;
@@ -35,52 +35,56 @@
 };
 
 /** \class Listening
- * \brief Where a service listens, for the ready line.
+ * \brief Ports on which a service listens, for the ready line.
  */
 struct Listening {
-  unsigned rpcPort = 0;
+  unsigned rpcPort = 0;  ///< 0 if the service has no RPC port
   unsigned httpPort = 0;
 };
 
 /** \class Service
- * \brief The body of a daemon.
+ * \brief The work of one daemon, started and stopped by runDaemon.
  */
 class Service {
  public:
   virtual ~Service() = default;
-  /** Starts to serve. \returns where it listens */
+  /** Starts serving. \returns the ports on which the service listens */
   virtual Result<Listening> start() = 0;
-  /** Ends in peace: takes nothing new, drains. \returns how many requests the drain limit cut */
+  /** Stops gracefully: accepts no new requests and waits for those in progress until the drain limit. \returns number
+   * of requests that were still in progress at the limit */
   virtual Awaitable<std::size_t> stop() = 0;
-  /** Takes changed settings in as far as they can change while serving: the seeds. */
+  /** Applies the changed settings that can change while serving: the seeds. */
   virtual void reload(const schema::Settings& settings) { static_cast<void>(settings); }
 };
 
 /** \class DaemonProgram
- * \brief One daemon's name and how its service is made.
+ * \brief Name, command line and service factory of one daemon.
  */
 struct DaemonProgram {
   std::string name;
   std::string description;
-  /** Makes the sections that the daemon needs, so that they are checked and get their defaults. */
+  /** Creates the settings sections that the daemon requires, so that they are checked and get their defaults. */
   std::function<void(schema::Settings&)> needSections;
   std::function<std::unique_ptr<Service>(const DaemonContext&)> makeService;
-  /** Further options: --init and the like. \returns an exit code to end with, or nothing to go on and serve */
+  /** Runs the command of a further option, such as --init. \returns the exit code to end with, or nothing to go on and
+   * serve */
   std::function<std::optional<int>(const schema::Settings&, const std::string& command)> runCommand;
-  std::vector<std::pair<std::string, std::string>> commands;  ///< option and its help
+  std::vector<std::pair<std::string, std::string>> commands;  ///< option without its dashes, and its help text
 };
 
 /** Reads the command line and settings, serves until SIGTERM or SIGINT. \returns the exit code */
 int runDaemon(const DaemonProgram& program, int argc, char** argv);
 
-/** Reads settings files, the later ones laid over the earlier ones, and checks them. */
+/** Reads settings files, in which later files override keys of earlier ones, and checks the result. \param files at
+ * least one file \param needSections creates the sections that the daemon requires */
 Result<schema::Settings> readSettings(const std::vector<std::string>& files,
                                       const std::function<void(schema::Settings&)>& needSections);
 
-/** Answers /healthz, /readyz and /metrics; nothing for other paths. */
+/** Answers /healthz, /readyz and /metrics. \param ready whether /readyz answers 200 or 503 \returns nothing for other
+ * paths */
 std::optional<HttpResponse> answerAdmin(const HttpRequest& request, bool ready, const Histograms& metrics);
 
-/** Waits until a count is zero, looking every few milliseconds. \returns what is left at the limit */
+/** Waits until a count is zero, polling it every few milliseconds, or until the limit. \returns the last count */
 Awaitable<std::size_t> drainToZero(std::function<std::size_t()> count, Duration limit);
 
 }  // namespace courseloom
--- a/Courseloom/src/Schema/YamlReader.cpp
+++ b/Courseloom/src/Schema/YamlReader.cpp
@@ -49,6 +49,7 @@
   return !error;
 }
 
+/** \returns whether a rule limits the value, which it does only if its maximum is above its minimum. */
 bool has_range(const schema::Rule& rule) { return rule.max() > rule.min(); }
 
 std::string range_text(const schema::Rule& rule) {
@@ -58,8 +59,9 @@
   return text.str();
 }
 
-/** Checks one scalar against the rule of its key; returns what is wrong or an empty string. */
-std::string rule_broken(const schema::Rule& rule, const std::string& text, double number, bool isNumber) {
+/** Checks one scalar against the rule of its key. \returns a text that says how it violates the rule, or an empty
+ * string */
+std::string rule_violation(const schema::Rule& rule, const std::string& text, double number, bool isNumber) {
   if (isNumber && has_range(rule) && (number < rule.min() || number > rule.max())) {
     return "value " + text + " is outside " + range_text(rule);
   }
@@ -77,21 +79,24 @@
   return {};
 }
 
+/** \class Reader
+ * \brief Parses a YAML tree into a message and records the first failure.
+ */
 class Reader {
  public:
   explicit Reader(std::string file) : m_file(std::move(file)) {}
 
   void readMessage(const YAML::Node& node, Message& message, const std::string& path) {
-    if (!node.IsMap()) return wrong(node, path, "expected keys and values");
+    if (!node.IsMap()) return reject(node, path, "expected keys and values");
     std::vector<std::string> seen;
     for (const auto& pair : node) {
       const std::string key = pair.first.Scalar();
       const std::string keyPath = path.empty() ? key : path + "." + key;
-      if (std::find(seen.begin(), seen.end(), key) != seen.end()) wrong(pair.first, keyPath, "key given twice");
+      if (std::find(seen.begin(), seen.end(), key) != seen.end()) reject(pair.first, keyPath, "key given twice");
       seen.push_back(key);
       const FieldDescriptor* field = findField(*message.GetDescriptor(), key);
       if (field == nullptr) {
-        wrong(pair.first, keyPath, "unknown key");
+        reject(pair.first, keyPath, "unknown key");
       } else {
         readField(pair.second, message, *field, keyPath);
       }
@@ -111,7 +116,7 @@
   void readField(const YAML::Node& node, Message& message, const FieldDescriptor& field, const std::string& path) {
     if (field.is_map()) return readMap(node, message, field, path);
     if (!field.is_repeated()) return readSingle(node, message, field, path);
-    if (!node.IsSequence()) return wrong(node, path, "expected a list");
+    if (!node.IsSequence()) return reject(node, path, "expected a list");
     message.GetReflection()->ClearField(&message, &field);
     for (std::size_t i = 0; i < node.size(); ++i) {
       Message* element = message.GetReflection()->AddMessage(&message, &field);
@@ -120,12 +125,12 @@
   }
 
   void readMap(const YAML::Node& node, Message& message, const FieldDescriptor& field, const std::string& path) {
-    if (!node.IsMap()) return wrong(node, path, "expected keys and values");
+    if (!node.IsMap()) return reject(node, path, "expected keys and values");
     const Reflection* reflection = message.GetReflection();
     reflection->ClearField(&message, &field);
     for (const auto& pair : node) {
       if (!pair.second.IsScalar() || !valid_name(pair.first.Scalar())) {
-        wrong(pair.first, path, "a label is a name and a plain value");
+        reject(pair.first, path, "a label is a name and a plain value");
         continue;
       }
       Message* entry = reflection->AddMessage(&message, &field);
@@ -140,7 +145,7 @@
     if (field.cpp_type() == FieldDescriptor::CPPTYPE_MESSAGE) {
       return readMessage(node, *reflection->MutableMessage(&message, &field), path);
     }
-    if (!node.IsScalar()) return wrong(node, path, "expected a single value");
+    if (!node.IsScalar()) return reject(node, path, "expected a single value");
     readScalar(node, message, field, path);
   }
 
@@ -174,18 +179,18 @@
           break;
         case FieldDescriptor::CPPTYPE_ENUM: {
           const auto* value = field.enum_type()->FindValueByName(text);
-          if (value == nullptr) return wrong(node, path, "'" + text + "' is not one of " + choices(field));
+          if (value == nullptr) return reject(node, path, "'" + text + "' is not one of " + choices(field));
           reflection->SetEnum(&message, &field, value);
           break;
         }
         default:
-          return wrong(node, path, "type not supported in YAML");
+          return reject(node, path, "type not supported in YAML");
       }
     } catch (const YAML::Exception&) {
-      return wrong(node, path, "'" + text + "' is not a " + std::string(field.cpp_type_name()));
+      return reject(node, path, "'" + text + "' is not a " + std::string(field.cpp_type_name()));
     }
-    const std::string broken = rule_broken(rule_of(field), text, number, isNumber);
-    if (!broken.empty()) wrong(node, path, broken);
+    const std::string violation = rule_violation(rule_of(field), text, number, isNumber);
+    if (!violation.empty()) reject(node, path, violation);
   }
 
   static std::string choices(const FieldDescriptor& field) {
@@ -196,7 +201,8 @@
     return list;
   }
 
-  void wrong(const YAML::Node& node, const std::string& path, const std::string& detail) {
+  /** Records a failure at a node, unless one is recorded already. */
+  void reject(const YAML::Node& node, const std::string& path, const std::string& detail) {
     if (m_failure) return;
     const std::string where = m_file + ":" + std::to_string(node.Mark().line + 1);
     m_failure = bad_settings(where, "key '" + path + "': " + detail);
@@ -206,6 +212,7 @@
   std::optional<Failure> m_failure;
 };
 
+/** Sets a field to the default value of its rule. */
 void set_default(Message& message, const FieldDescriptor& field, const std::string& text) {
   const Reflection* reflection = message.GetReflection();
   if (field.cpp_type() == FieldDescriptor::CPPTYPE_UINT32) {
@@ -217,7 +224,7 @@
   } else if (field.cpp_type() == FieldDescriptor::CPPTYPE_BOOL) {
     reflection->SetBool(&message, &field, text == "true");
   } else if (field.cpp_type() == FieldDescriptor::CPPTYPE_MESSAGE) {
-    reflection->MutableMessage(&message, &field);  // a section that is left out has its defaults
+    reflection->MutableMessage(&message, &field);  // a section that is left out gets its defaults
   } else {
     reflection->SetString(&message, &field, text);
   }
@@ -228,6 +235,8 @@
   return field.is_repeated() ? reflection->FieldSize(message, &field) > 0 : reflection->HasField(message, &field);
 }
 
+/** Sets default values and checks each field of a message and of the messages below. \returns the first error, or an
+ * empty string */
 std::string check_tree(Message& message, const std::string& path);
 
 std::string check_field(Message& message, const FieldDescriptor& field, const std::string& path) {
@@ -255,14 +264,14 @@
       isNumber = false;
     }
     if (isNumber) text = std::to_string(static_cast<std::uint64_t>(number));
-    const std::string broken = rule_broken(rule, text, number, isNumber);
-    return broken.empty() ? broken : "key '" + path + "': " + broken;
+    const std::string violation = rule_violation(rule, text, number, isNumber);
+    return violation.empty() ? violation : "key '" + path + "': " + violation;
   }
   if (!field.is_repeated()) return check_tree(*reflection->MutableMessage(&message, &field), path);
   for (int i = 0; i < reflection->FieldSize(message, &field); ++i) {
-    std::string wrong =
+    std::string errorText =
         check_tree(*reflection->MutableRepeatedMessage(&message, &field, i), path + "[" + std::to_string(i) + "]");
-    if (!wrong.empty()) return wrong;
+    if (!errorText.empty()) return errorText;
   }
   return {};
 }
@@ -272,12 +281,13 @@
   for (int i = 0; i < descriptor->field_count(); ++i) {
     const FieldDescriptor* field = descriptor->field(i);
     const std::string fieldPath = path.empty() ? field->json_name() : path + "." + field->json_name();
-    std::string wrong = check_field(message, *field, fieldPath);
-    if (!wrong.empty()) return wrong;
+    std::string errorText = check_field(message, *field, fieldPath);
+    if (!errorText.empty()) return errorText;
   }
   return {};
 }
 
+/** Appends one row of a Markdown table for each key below a message. */
 void describe_tree(const Descriptor& descriptor, const std::string& path, std::ostringstream& page) {
   for (int i = 0; i < descriptor.field_count(); ++i) {
     const FieldDescriptor* field = descriptor.field(i);
@@ -319,14 +329,14 @@
 }
 
 Result<void> checkRequired(const std::string& file, google::protobuf::Message& message) {
-  const std::string wrong = internal::check_tree(message, "");
-  if (!wrong.empty()) return fail(internal::bad_settings(file, wrong));
+  const std::string errorText = internal::check_tree(message, "");
+  if (!errorText.empty()) return fail(internal::bad_settings(file, errorText));
   return {};
 }
 
 Result<void> checkMessage(const std::string& step, google::protobuf::Message& message) {
-  const std::string wrong = internal::check_tree(message, "");
-  if (!wrong.empty()) return fail(Failure{FailureCode::BadRequest, Ran::No, step, "", wrong, 0});
+  const std::string errorText = internal::check_tree(message, "");
+  if (!errorText.empty()) return fail(Failure{FailureCode::BadRequest, Ran::No, step, "", errorText, 0});
   return {};
 }
 
