--- a/Courseloom/src/Core/Log.cpp
+++ b/Courseloom/src/Core/Log.cpp
@@ -55,7 +55,7 @@
   /** Decides on one line of an event. \param allowed budget, lines a second
    * \param omitted set to the number of lines left out in the last second that had lines of the event, once it is over
    * \returns whether to write the line */
-  bool take(schema::Event event, unsigned allowed, std::uint64_t& omitted) {
+  bool admit(schema::Event event, unsigned allowed, std::uint64_t& omitted) {
     const std::int64_t second = second_now();
     const std::lock_guard lock(m_mutex);
     Window& window = m_windows[static_cast<std::size_t>(event) % EventNumbers];
@@ -131,7 +131,7 @@
   if (!internal::process_logger()->isEnabledFor(level)) return;
   const bool isWarning = level->isGreaterOrEqual(log4cxx::Level::getWarn());
   std::uint64_t omitted = 0;
-  const bool write = internal::event_budget().take(
+  const bool write = internal::event_budget().admit(
       event, isWarning ? internal::WarningsEachSecond : internal::LinesEachSecond, omitted);
   if (omitted > 0) {
     internal::write_line(schema::LinesOmitted, log4cxx::Level::getWarn(),
@@ -149,7 +149,7 @@
   bool write = false;
   {
     const std::lock_guard lock(mutex);
-    write = sampler.take(XXH64(group.data(), group.size(), 0), internal::second_now(), omitted);
+    write = sampler.admit(XXH64(group.data(), group.size(), 0), internal::second_now(), omitted);
   }
   if (omitted > 0)
     internal::write_line(schema::LinesOmitted, log4cxx::Level::getWarn(), {{"of", "stories"}, {"count", omitted}});
--- a/Courseloom/src/Core/StoryChoice.cpp
+++ b/Courseloom/src/Core/StoryChoice.cpp
@@ -28,7 +28,7 @@
   m_halveAt = m_lines;
 }
 
-bool StoryChoice::take(std::uint64_t group, std::int64_t second, std::uint64_t& omitted) {
+bool StoryChoice::admit(std::uint64_t group, std::int64_t second, std::uint64_t& omitted) {
   if (second != m_second) {
     omitted = std::exchange(m_omitted, 0);
     beginSecond(second);
--- a/Courseloom/src/Core/StoryChoice.h
+++ b/Courseloom/src/Core/StoryChoice.h
@@ -23,7 +23,7 @@
   /** Decides on one line. \param group a hash of the group's name \param second now, in whole seconds
    * \param omitted set to the number of lines left out and not yet reported, if this is the first line of a new second
    * \returns whether to write the line */
-  bool take(std::uint64_t group, std::int64_t second, std::uint64_t& omitted);
+  bool admit(std::uint64_t group, std::int64_t second, std::uint64_t& omitted);
 
  private:
   bool isSampled(std::uint64_t group) const { return (group & ((std::uint64_t{1} << m_halvings) - 1)) == 0; }
--- a/test/story_choice.cpp
+++ b/test/story_choice.cpp
@@ -35,7 +35,7 @@
     for (unsigned line = 0; line < linesEach; ++line) {
       for (std::uint64_t story = 0; story < Stories; ++story) {
         std::uint64_t omitted = 0;
-        const bool write = choice.take(nameOf(story), second, omitted);
+        const bool write = choice.admit(nameOf(story), second, omitted);
         told.omitted += omitted;
         told.lines[story] += write ? 1 : 0;
         written += write ? 1 : 0;
@@ -63,8 +63,8 @@
   StoryChoice choice(Budget);
   tell(choice, 100, 5, 5);
   std::uint64_t omitted = 0;
-  choice.take(nameOf(1), 130, omitted);
-  for (std::uint64_t story = 0; story < Budget; ++story) cr_assert(choice.take(nameOf(story), 131, omitted));
+  choice.admit(nameOf(1), 130, omitted);
+  for (std::uint64_t story = 0; story < Budget; ++story) cr_assert(choice.admit(nameOf(story), 131, omitted));
 }
 
 Test(story_choice, what_fits_the_budget_is_all_told) {
