--- a/Courseloom/src/Control/ReplicaDriver.cpp
+++ b/Courseloom/src/Control/ReplicaDriver.cpp
@@ -13,8 +13,8 @@
 #include <iostream>
 #include <random>
 
-#include "Courseloom/src/Core/Counted.h"
 #include "Courseloom/src/Core/Log.h"
+#include "Courseloom/src/Core/ScopedCount.h"
 #include "Courseloom/src/Membership/ControlClient.h"
 #include "generated/rpc.pb.h"
 
@@ -344,7 +344,7 @@
   asio::co_spawn(
       m_context.io,
       [this, client, inFlight, message = std::move(message), deadline]() -> Awaitable<void> {
-        const Counted<unsigned> counted(*inFlight);
+        const ScopedCount<unsigned> counted(*inFlight);
         Result<schema::Empty> reply = co_await client->call<schema::Empty>("replicate", message, deadline);
         if (!reply) m_context.metrics.count("replica_send_failures", client->peer());
       },
--- a/Courseloom/src/Core/Counted.h
+++ b/Courseloom/src/Core/ScopedCount.h
@@ -8,18 +8,18 @@
 
 namespace courseloom {
 
-/** \class Counted
+/** \class ScopedCount
  * \brief Adds one to a counter at construction and subtracts it at destruction, to count work in flight.
  *
  * The counter must exist longer than this object.
  */
 template <class Number>
-class Counted {
+class ScopedCount {
  public:
-  explicit Counted(std::atomic<Number>& count) : m_count(count) { ++m_count; }
-  ~Counted() { --m_count; }
-  Counted(const Counted&) = delete;
-  Counted& operator=(const Counted&) = delete;
+  explicit ScopedCount(std::atomic<Number>& count) : m_count(count) { ++m_count; }
+  ~ScopedCount() { --m_count; }
+  ScopedCount(const ScopedCount&) = delete;
+  ScopedCount& operator=(const ScopedCount&) = delete;
 
  private:
   std::atomic<Number>& m_count;
--- a/Courseloom/src/Membership/ControlRelay.cpp
+++ b/Courseloom/src/Membership/ControlRelay.cpp
@@ -3,7 +3,7 @@
 
 #include "Courseloom/src/Membership/ControlRelay.h"
 
-#include "Courseloom/src/Core/Counted.h"
+#include "Courseloom/src/Core/ScopedCount.h"
 
 namespace courseloom {
 
@@ -38,7 +38,7 @@
       co_return fail(Failure{FailureCode::NoLeader, Ran::No, method, "", "no way to control", 0});
     if (m_activeCalls >= internal::MaxActiveCalls)
       co_return fail(Failure{FailureCode::NoLeader, Ran::No, method, "", "relays as much as it may", 0});
-    const Counted<unsigned> counted(m_activeCalls);
+    const ScopedCount<unsigned> counted(m_activeCalls);
     Duration timeout = internal::RelayTimeout;
     if constexpr (requires { request.wait_ms(); }) timeout += milliseconds(request.wait_ms());
     if constexpr (requires { request.set_relayed(true); }) request.set_relayed(true);
--- a/Courseloom/src/Transport/HttpServer.cpp
+++ b/Courseloom/src/Transport/HttpServer.cpp
@@ -14,7 +14,7 @@
 #include <boost/beast/http/read.hpp>
 #include <boost/beast/http/write.hpp>
 
-#include "Courseloom/src/Core/Counted.h"
+#include "Courseloom/src/Core/ScopedCount.h"
 #include "Courseloom/src/Transport/Listen.h"
 
 namespace courseloom {
@@ -74,7 +74,7 @@
 }
 
 Awaitable<void> HttpServer::serve(asio::ip::tcp::socket socket) {
-  const Counted<std::size_t> connection(m_connections);
+  const ScopedCount<std::size_t> connection(m_connections);
   boost::system::error_code ignored;
   socket.set_option(asio::ip::tcp::no_delay(true), ignored);
   const auto remote = socket.remote_endpoint(ignored);
@@ -97,7 +97,7 @@
       co_await http::async_write(stream, response, asio::as_tuple(asio::use_awaitable));
       break;
     }
-    const Counted<std::size_t> inFlight(m_inFlight);
+    const ScopedCount<std::size_t> inFlight(m_inFlight);
     HttpRequest request = parser.release();
     const bool keepAlive = request.keep_alive();
     const unsigned version = request.version();
--- a/Courseloom/src/Transport/RpcServer.cpp
+++ b/Courseloom/src/Transport/RpcServer.cpp
@@ -11,7 +11,7 @@
 #include <boost/asio/strand.hpp>
 #include <boost/asio/use_awaitable.hpp>
 
-#include "Courseloom/src/Core/Counted.h"
+#include "Courseloom/src/Core/ScopedCount.h"
 #include "Courseloom/src/Transport/Listen.h"
 
 namespace courseloom {
@@ -69,7 +69,7 @@
   if (found == m_handlers.end()) {
     co_return fail(Failure{FailureCode::NotFound, Ran::No, call.method, call.peer, "no such method", 0});
   }
-  const Counted<std::size_t> inFlight(m_inFlight);
+  const ScopedCount<std::size_t> inFlight(m_inFlight);
   co_return co_await found->second(std::move(call));
 }
 
