--- a/Courseloom/src/Control/JobRunner.cpp
+++ b/Courseloom/src/Control/JobRunner.cpp
@@ -110,7 +110,7 @@
   for (const auto& [id, job] : m_driver.state().jobs()) {
     const bool stepOpen =
         job.phase() == schema::JobReserving || job.phase() == schema::JobStarting || job.phase() == schema::JobStopping;
-    if (stepOpen) act(id);
+    if (stepOpen) beginPhase(id);
   }
 }
 
@@ -129,7 +129,7 @@
   m_knowsWorkers = true;
 }
 
-void JobRunner::takeReport(const schema::PlatformReport& report) {
+void JobRunner::applyReport(const schema::PlatformReport& report) {
   applyInventory(report);
   std::set<std::uint64_t> ownLeases;
   for (const auto& [id, job] : m_driver.state().jobs()) {
@@ -166,7 +166,7 @@
         logFailure(schema::PlatformFailed, takeFailure(report));
       } else if (leads()) {
         m_reportSentAt = sentAt;
-        takeReport(*report);
+        applyReport(*report);
         reviewRunning();
         decide();
         logGuaranteeChanges();
@@ -209,14 +209,14 @@
   m_context.metrics.record("decision_ms", "all", "all", toMilliseconds(BootClock::now() - before));
   for (const Decision& decision : decisions) {
     if (decision.kind == DecisionKind::Place) {
-      carryOut(decision);
+      commitPlacement(decision);
     } else {
       reclaim(decision);
     }
   }
 }
 
-void JobRunner::carryOut(const Decision& decision) {
+void JobRunner::commitPlacement(const Decision& decision) {
   const schema::Job* known = m_driver.state().job(decision.job);
   if (known == nullptr || known->phase() != schema::JobQueued || m_committing.count(decision.job) > 0) return;
   schema::Job job = *known;
@@ -332,7 +332,7 @@
   commit(std::move(next), schema::JobRunning);
 }
 
-void JobRunner::act(const std::string& jobId) {
+void JobRunner::beginPhase(const std::string& jobId) {
   if (!leads() || !m_activePhases.insert(jobId).second) return;
   asio::co_spawn(m_strand, runPhase(jobId), asio::detached);
 }
--- a/Courseloom/src/Control/JobRunner.h
+++ b/Courseloom/src/Control/JobRunner.h
@@ -47,7 +47,7 @@
   Awaitable<void> pollLoop();
   void decide();
   void resumeOpenGangs();
-  void takeReport(const schema::PlatformReport& report);
+  void applyReport(const schema::PlatformReport& report);
   void applyInventory(const schema::PlatformReport& report);
   void reviewRunning();
   void reviewJob(const schema::Job& job);
@@ -57,9 +57,9 @@
 
   void commit(schema::Job job, schema::JobPhase from);
   Awaitable<void> commitLater(schema::Job job, schema::JobPhase from);
-  void carryOut(const Decision& decision);
+  void commitPlacement(const Decision& decision);
   void reclaim(const Decision& decision);
-  void act(const std::string& jobId);
+  void beginPhase(const std::string& jobId);
   Awaitable<void> runPhase(std::string jobId);
   Awaitable<void> reserve(schema::Job job);
   Awaitable<void> launch(schema::Job job);
