--- a/Courseloom/src/Control/WorkflowRunTimes.cpp
+++ b/Courseloom/src/Control/WorkflowRunTimes.cpp
@@ -41,7 +41,7 @@
 /** \returns the run time of a run's whole task on its target, ms, extrapolated from the run's progress. Nothing if that
  * does not characterise the target: the task is long-running, its data is in another rack, or too little progress was
  * observed. */
-std::optional<double> WorkflowRunner::wholeMs(const RunKey& key, const RunTrack& track) const {
+std::optional<double> WorkflowRunner::fullRunTimeMs(const RunKey& key, const RunTrack& track) const {
   const schema::StepSpec& step = table().find(key.workflow)->step(key.task.step);
   const auto target = m_ledger.targets().find(track.agent);
   if (target == m_ledger.targets().end() || step.long_running()) return std::nullopt;
@@ -65,7 +65,7 @@
   if (run == m_ledger.runs().end() || table().find(key.workflow) == nullptr) return;
   const RunTrack& track = run->second;
   const schema::StepSpec& step = table().find(key.workflow)->step(key.task.step);
-  std::optional<double> whole = wholeMs(key, track);
+  std::optional<double> whole = fullRunTimeMs(key, track);
   // A short task may end before it was observed twice, so its measured run time is used. A gang's run time would only
   // reflect its slowest member.
   const bool usesMeasured = end.kind() == schema::RunDone && !step.gang() && step.preferred_rack().empty();
@@ -76,11 +76,11 @@
 /** Updates the run time estimates from the log and from the progress of active runs, at most once per LearnInterval. */
 void WorkflowRunner::updateEstimator() {
   const Time now = BootClock::now();
-  if (!learns() || now < m_nextEstimatorUpdate) return;
+  if (!learnsRunTimes() || now < m_nextEstimatorUpdate) return;
   m_outlook = table().outlook();
   for (const auto& [key, track] : m_ledger.runs()) {
     const WorkflowState* workflow = table().find(key.workflow);
-    const std::optional<double> whole = workflow == nullptr ? std::nullopt : wholeMs(key, track);
+    const std::optional<double> whole = workflow == nullptr ? std::nullopt : fullRunTimeMs(key, track);
     if (whole) m_outlook.ran(stepOfRuns(*workflow, key.task.stepKey()), track.target, *whole, wallClockMs());
   }
   m_outlook.closeAll();
@@ -134,20 +134,20 @@
 /** \returns the expected run time of a step's task on a usual target, ms; the step's estimate if learning is off. */
 double WorkflowRunner::expectedMs(const std::string& queue, const schema::StepSpec& step) const {
   const auto estimateMs = static_cast<double>(step.estimate_ms());
-  return learns() ? m_outlook.expectedMs(queue, estimateMs) : estimateMs;
+  return learnsRunTimes() ? m_outlook.expectedMs(queue, estimateMs) : estimateMs;
 }
 
 /** \returns the time factor of a target: run time of a task on it relative to that on a usual target; 1 if learning is
  * off. */
 double WorkflowRunner::timeFactor(const std::string& target) const {
-  return learns() ? m_outlook.timeFactor(target) : 1.0;
+  return learnsRunTimes() ? m_outlook.timeFactor(target) : 1.0;
 }
 
 /** \returns the remaining run time of a run, ms.
  * \param usualMs expected run time of its whole task on a usual target, ms */
 double WorkflowRunner::remainingMs(const RunTrack& track, double usualMs) const {
   const double leftMs = usualMs * timeFactor(track.target) * (1.0 - track.percent / internal::WholePercent);
-  const std::optional<double> byPace = learns() ? remainingByPaceMs(track, BootClock::now()) : std::nullopt;
+  const std::optional<double> byPace = learnsRunTimes() ? remainingByPaceMs(track, BootClock::now()) : std::nullopt;
   return byPace ? *byPace : std::max(0.0, leftMs);
 }
 
--- a/Courseloom/src/Control/WorkflowRunner.cpp
+++ b/Courseloom/src/Control/WorkflowRunner.cpp
@@ -344,7 +344,7 @@
 
 /** \returns whether a run is stalled. A gang makes progress only while all its members do, so it counts as stalled only
  * if all members are. Missing reports of an agent or a target do not count as a stall of its runs. */
-bool WorkflowRunner::standsStill(const RunKey& key, const RunTrack& track) const {
+bool WorkflowRunner::isStalled(const RunKey& key, const RunTrack& track) const {
   const schema::Workflow& record = table().find(key.workflow)->record;
   const schema::StepSpec& step = record.spec().steps(static_cast<int>(key.task.step));
   if (!track.confirmed || step.long_running() || track.percent >= internal::WholePercent) return false;
@@ -371,7 +371,7 @@
     // A long-running task never ends by itself and would keep a drained data hall in use for good.
     const bool endless = workflow->step(key.task.step).long_running() && runsInDrainedHall(track);
     if (endless || endsAfterTarget(key, track)) leaving.push_back(key);
-    if (standsStill(key, track)) still.push_back(key);
+    if (isStalled(key, track)) still.push_back(key);
   }
   for (const RunKey& key : leaving) stopRunOrGang(key, "its target leaves");
   for (const RunKey& key : still) {
--- a/Courseloom/src/Control/WorkflowRunner.h
+++ b/Courseloom/src/Control/WorkflowRunner.h
@@ -121,12 +121,12 @@
   Rank rankOfWorkflow(const WorkflowState& workflow) const;
   unsigned freeTargetsToKeep(const std::vector<PlannedRun>& runs, const std::vector<PlannedStep>& steps);
   bool endsAfterTarget(const RunKey& key, const RunTrack& track) const;
-  bool standsStill(const RunKey& key, const RunTrack& track) const;
-  bool learns() const { return m_context.settings.policy().learn_run_times(); }
+  bool isStalled(const RunKey& key, const RunTrack& track) const;
+  bool learnsRunTimes() const { return m_context.settings.policy().learn_run_times(); }
   double expectedMs(const std::string& queue, const schema::StepSpec& step) const;
   double timeFactor(const std::string& target) const;
   double remainingMs(const RunTrack& track, double usualMs) const;
-  std::optional<double> wholeMs(const RunKey& key, const RunTrack& track) const;
+  std::optional<double> fullRunTimeMs(const RunKey& key, const RunTrack& track) const;
   bool startedFromBeginning(const RunKey& key) const;
   void recordFullRunTime(schema::RunEnd& end, Time now) const;
   void updateEstimator();
