--- a/Courseloom/src/Control/ControlService.cpp
+++ b/Courseloom/src/Control/ControlService.cpp
@@ -464,7 +464,7 @@
       m_strand,
       [this]() -> Awaitable<void> {
         co_await m_driver.handOver(milliseconds(m_context.settings.control().handover_limit_ms()));
-        m_workflows.release();
+        m_workflows.releaseWaiters();
         m_changed.notify();
       },
       asio::use_awaitable);
--- a/Courseloom/src/Control/WorkflowRunner.cpp
+++ b/Courseloom/src/Control/WorkflowRunner.cpp
@@ -91,7 +91,7 @@
   requestPlan();
 }
 
-void WorkflowRunner::release() {
+void WorkflowRunner::releaseWaiters() {
   m_released = true;
   for (auto& [agent, signal] : m_agentSignals) signal.notify();
 }
--- a/Courseloom/src/Control/WorkflowRunner.h
+++ b/Courseloom/src/Control/WorkflowRunner.h
@@ -72,7 +72,7 @@
   /** \returns the status of each known target, with its estimated time factor. */
   std::vector<schema::TargetStatus> targetStatus() const;
   /** Ends all delayed replies to agents with a failure, so that the agents look for another leader. */
-  void release();
+  void releaseWaiters();
   /** Sets the function that returns the control replicas; replies to agents list them. */
   void setMembersSource(std::function<std::vector<ReplicaId>()> source) { m_membersSource = std::move(source); }
 
@@ -180,7 +180,7 @@
   bool m_leads = false;
   bool m_changesInherited = false;  ///< changes applied now were committed or proposed by a former leader
   bool m_dirty = false;             ///< a new plan is requested
-  bool m_released = false;          ///< release() was called
+  bool m_released = false;          ///< releaseWaiters() was called
 };
 
 }  // namespace courseloom
