--- a/Courseloom/src/Control/ControlService.cpp
+++ b/Courseloom/src/Control/ControlService.cpp
@@ -403,7 +403,7 @@
   return request.term() == 0 || targetsSettled();
 }
 
-bool ControlService::hasNews(const schema::WatchRequest& request) const {
+bool ControlService::hasUpdates(const schema::WatchRequest& request) const {
   return request.revision() != m_driver.state().objects().revision() || hasNewTargets(request);
 }
 
@@ -441,7 +441,7 @@
   m_nodes.heard(request.node(), BootClock::now());
   const bool leavingBefore = m_nodes.isLeaving(request.node());
   const Time end = BootClock::now() + milliseconds(request.wait_ms());
-  while (leads() && !hasNews(request) && BootClock::now() < end && !m_stopping) {
+  while (leads() && !hasUpdates(request) && BootClock::now() < end && !m_stopping) {
     if (m_nodes.isLeaving(request.node()) != leavingBefore) break;
     co_await m_changed.wait(end);
   }
--- a/Courseloom/src/Control/ControlService.h
+++ b/Courseloom/src/Control/ControlService.h
@@ -59,7 +59,7 @@
   schema::ClusterStatus clusterStatus() const;
   schema::WatchReply makeWatchReply(const schema::WatchRequest& request);
   bool hasNewTargets(const schema::WatchRequest& request) const;
-  bool hasNews(const schema::WatchRequest& request) const;
+  bool hasUpdates(const schema::WatchRequest& request) const;
   bool targetsSettled() const;
   bool leads() const { return m_driver.canRead(); }
   HttpResponse answerHttp(const HttpRequest& request) const;
--- a/Courseloom/src/Control/WorkflowAgents.cpp
+++ b/Courseloom/src/Control/WorkflowAgents.cpp
@@ -117,8 +117,8 @@
   if (wasAsked || m_ledger.offer(request.agent(), received) != offered) requestPlan();
   const Time end = received + milliseconds(request.wait_ms());
   // Not delayed for an agent that is new to this leader: after an outage little is left of a former leader's lease.
-  const bool hasNews = !wasKnown || request.ends_size() > 0 || request.started_size() > 0;
-  while (leads() && !hasNews && !m_released && BootClock::now() < end) {
+  const bool hasUpdates = !wasKnown || request.ends_size() > 0 || request.started_size() > 0;
+  while (leads() && !hasUpdates && !m_released && BootClock::now() < end) {
     if (m_ledger.asked(request.agent()) || m_ledger.isOvertaken(request)) break;
     if (m_ledger.hasOrders(request.agent(), table(), BootClock::now())) break;
     co_await m_agentSignals[request.agent()].wait(end);
