--- a/Courseloom/src/Agent/RunAgentLives.cpp
+++ b/Courseloom/src/Agent/RunAgentLives.cpp
@@ -37,8 +37,8 @@
 }
 
 void RunAgentService::handleAnnouncement(const TargetAnnouncement& announcement) {
-  const std::string& life = announcement.report.id();
-  if (!isCurrentIncarnation(life)) return recordOtherIncarnation(announcement);
+  const std::string& incarnation = announcement.report.id();
+  if (!isCurrentIncarnation(incarnation)) return recordOtherIncarnation(announcement);
   if (announcement.sequence <= m_target->sequence) return;
   const schema::TargetReport before = m_target->report;
   applyAnnouncement(announcement);
@@ -73,16 +73,16 @@
 
 /** Records the announcement of an incarnation other than the current one, to be confirmed by a poll. */
 void RunAgentService::recordOtherIncarnation(const TargetAnnouncement& announcement) {
-  const std::string& life = announcement.report.id();
-  const auto found = m_announced.find(life);
+  const std::string& incarnation = announcement.report.id();
+  const auto found = m_announced.find(incarnation);
   if (found != m_announced.end() && announcement.sequence <= found->second.sequence) return;
   if (found == m_announced.end()) {
     if (m_announced.size() >= internal::MaxAnnounced) return;
-    logEvent(
-        schema::TargetAnnounced,
-        {{"target", life}, {"present", m_target ? m_target->report.id() : ""}, {"sequence", announcement.sequence}});
+    logEvent(schema::TargetAnnounced, {{"target", incarnation},
+                                       {"present", m_target ? m_target->report.id() : ""},
+                                       {"sequence", announcement.sequence}});
   }
-  m_announced[life] = announcement;
+  m_announced[incarnation] = announcement;
   m_announcedSignal.notify();
 }
 
@@ -92,8 +92,8 @@
   while (true) {
     while (m_announced.empty()) co_await m_announcedSignal.wait(BootClock::now() + milliseconds(60000));
     std::vector<std::string> incarnations;
-    for (const auto& [life, announcement] : m_announced) incarnations.push_back(life);
-    for (const std::string& life : incarnations) co_await confirm(life);
+    for (const auto& [incarnation, announcement] : m_announced) incarnations.push_back(incarnation);
+    for (const std::string& incarnation : incarnations) co_await confirm(incarnation);
     if (!m_announced.empty()) co_await sleepFor(internal::ConfirmPause);
   }
 }
@@ -101,25 +101,25 @@
 /** Polls for one announced incarnation. A refusal does not name the refusing incarnation and a missing answer shows
  * nothing, so both lead to another poll. The answering incarnation was running after the announcement had arrived. If
  * it is not the announced one, the announced one has ended, whatever start times the clocks gave them. */
-Awaitable<void> RunAgentService::confirm(std::string life) {
+Awaitable<void> RunAgentService::confirm(std::string incarnation) {
   // After this step the target refuses calls meant for a former incarnation, so the lists in the answer are complete:
   // they hold all runs that such calls can ever have begun in this incarnation.
   const std::uint64_t step = nextFenceStep();
   TargetHold hold;
   hold.token = Fence::token(step, m_term);
   Result<TargetAnswer> answer =
-      co_await m_port->hold(life, hold, milliseconds(m_context.settings.runner().order_limit_ms()));
+      co_await m_port->hold(incarnation, hold, milliseconds(m_context.settings.runner().order_limit_ms()));
   if (answer && answer->fenced) m_fence.overtake();
-  const auto found = m_announced.find(life);
+  const auto found = m_announced.find(incarnation);
   if (!answer || answer->verdict == TargetVerdict::Refused || found == m_announced.end()) co_return;
   const bool accepted = answer->verdict == TargetVerdict::Taken;
-  if (accepted && answer->life == life) {
+  if (accepted && answer->incarnation == incarnation) {
     beginIncarnation(found->second);
     m_target->step = step;
     applyPoll(*answer, BootClock::now());
   } else {
-    if (accepted && isCurrentIncarnation(answer->life)) m_target->step = std::max(m_target->step, step);
-    logEvent(schema::TargetDisowned, {{"target", life}, {"present", m_target ? m_target->report.id() : ""}});
+    if (accepted && isCurrentIncarnation(answer->incarnation)) m_target->step = std::max(m_target->step, step);
+    logEvent(schema::TargetDisowned, {{"target", incarnation}, {"present", m_target ? m_target->report.id() : ""}});
   }
   m_announced.erase(found);
 }
@@ -127,9 +127,10 @@
 /** Makes an incarnation current. Runs of the former one ended with it; the leader concludes this from the name and the
  * lists of the new one. */
 void RunAgentService::beginIncarnation(const TargetAnnouncement& announcement) {
-  const std::string& life = announcement.report.id();
-  logEvent(schema::TargetRegistered,
-           {{"target", life}, {"former", m_target ? m_target->report.id() : ""}, {"sequence", announcement.sequence}});
+  const std::string& incarnation = announcement.report.id();
+  logEvent(schema::TargetRegistered, {{"target", incarnation},
+                                      {"former", m_target ? m_target->report.id() : ""},
+                                      {"sequence", announcement.sequence}});
   for (const auto& [key, run] : m_runs) recordLost(key, schema::RunTargetLost);
   m_target = TargetState();
   applyAnnouncement(announcement);
@@ -174,13 +175,13 @@
   lost.set_after_ms(static_cast<std::uint32_t>(toMilliseconds(evidence.after)));
 }
 
-Awaitable<void> RunAgentService::leave(std::string life) {
-  co_await asio::co_spawn(m_strand, leaveOnStrand(std::move(life)), asio::use_awaitable);
+Awaitable<void> RunAgentService::leave(std::string incarnation) {
+  co_await asio::co_spawn(m_strand, leaveOnStrand(std::move(incarnation)), asio::use_awaitable);
 }
 
-Awaitable<void> RunAgentService::leaveOnStrand(std::string life) {
-  if (isCurrentIncarnation(life)) m_target->deregistered = true;
-  m_announced.erase(life);
+Awaitable<void> RunAgentService::leaveOnStrand(std::string incarnation) {
+  if (isCurrentIncarnation(incarnation)) m_target->deregistered = true;
+  m_announced.erase(incarnation);
   co_return;
 }
 
--- a/Courseloom/src/Agent/RunAgentService.cpp
+++ b/Courseloom/src/Agent/RunAgentService.cpp
@@ -134,7 +134,7 @@
 }
 
 Awaitable<bool> RunAgentService::poll(std::uint32_t waitMs) {
-  const std::string life = m_target->report.id();
+  const std::string incarnation = m_target->report.id();
   TargetHold hold;
   hold.deadlineMs = holdDeadline();
   // Calls to this incarnation must not carry a token with which a successor may have been polled, and a refusal does
@@ -146,12 +146,12 @@
   hold.lastSeen = m_target->failures > 0 || !m_announced.empty() ? 0 : m_target->endsTaken;
   hold.waitMs = waitMs;
   const Duration limit = milliseconds(waitMs) + milliseconds(m_context.settings.runner().order_limit_ms());
-  Result<TargetAnswer> answer = co_await m_port->hold(life, hold, limit);
-  if (!isCurrentIncarnation(life)) co_return false;
+  Result<TargetAnswer> answer = co_await m_port->hold(incarnation, hold, limit);
+  if (!isCurrentIncarnation(incarnation)) co_return false;
   const bool accepted = answer && answer->verdict == TargetVerdict::Taken;
   m_target->fenced = answer && answer->fenced;
   if (m_target->fenced) m_fence.overtake();
-  if (accepted && answer->life == life) {
+  if (accepted && answer->incarnation == incarnation) {
     m_target->step = std::max(m_target->step, step);
     applyPoll(*answer, BootClock::now());
     co_return true;
@@ -170,9 +170,9 @@
  * may have begun runs that were meant for the current one. It becomes current after it has announced itself. */
 void RunAgentService::handleSuccessor(const TargetAnswer& answer) {
   allowNoMoreFailures();
-  if (std::exchange(m_target->successor, answer.life) == answer.life) return;
+  if (std::exchange(m_target->successor, answer.incarnation) == answer.incarnation) return;
   logEvent(schema::TargetBornAgain, {{"target", m_target->report.id()},
-                                     {"answers", answer.life},
+                                     {"answers", answer.incarnation},
                                      {"clockMs", answer.clockMs},
                                      {"formerClockMs", m_target->clockMs},
                                      {"endsTaken", m_target->endsTaken}});
@@ -180,7 +180,7 @@
 
 void RunAgentService::applyPoll(const TargetAnswer& answer, Time receivedAt) {
   if (m_target->failures >= UnreachableAfterFailures) {
-    logEvent(schema::TargetRegained, {{"target", answer.life}});
+    logEvent(schema::TargetRegained, {{"target", answer.incarnation}});
     notifyPendingChanges();
   }
   m_target->failures = 0;
@@ -323,7 +323,7 @@
 }
 
 Awaitable<void> RunAgentService::startRun(schema::RunOrder order) {
-  const std::string life = order.target();
+  const std::string incarnation = order.target();
   const std::string name = taskText(order.task());
   const RunKey key = runKeyOf(order.task(), order.run());
   if (m_target->report.draining() || m_target->deregistered) {
@@ -342,8 +342,8 @@
   m_target->orderedAt[key] = BootClock::now();
   const TargetStart start{order, deadlineOnTarget(until), token()};
   Result<TargetAnswer> answer =
-      co_await m_port->start(life, start, milliseconds(m_context.settings.runner().order_limit_ms()));
-  if (!isCurrentIncarnation(life)) co_return;
+      co_await m_port->start(incarnation, start, milliseconds(m_context.settings.runner().order_limit_ms()));
+  if (!isCurrentIncarnation(incarnation)) co_return;
   if (!answer) recordUnansweredCall();
   if (answer && answer->verdict == TargetVerdict::Taken) {
     m_target->unansweredSince = Time{};
@@ -353,7 +353,7 @@
     schema::StartReport& started = m_started[key];
     *started.mutable_task() = order.task();
     started.set_run(order.run());
-    logEvent(schema::RunStarted, {{"task", name}, {"run", std::uint64_t{order.run()}}, {"target", life}});
+    logEvent(schema::RunStarted, {{"task", name}, {"run", std::uint64_t{order.run()}}, {"target", incarnation}});
     notifyPendingChanges();
     co_return;
   }
@@ -368,7 +368,7 @@
   if (refused) {
     logEvent(schema::RunRefused, {{"task", name}, {"run", std::uint64_t{order.run()}}, {"reason", answer->reason}});
   } else {
-    logEvent(schema::RunInDoubt, {{"task", name}, {"run", std::uint64_t{order.run()}}, {"target", life}});
+    logEvent(schema::RunInDoubt, {{"task", name}, {"run", std::uint64_t{order.run()}}, {"target", incarnation}});
   }
   // Refused runs are stopped too: another copy of the order may still reach this agent and must find the run stopped.
   co_await stopRun(std::move(order));
@@ -376,15 +376,15 @@
 
 /** Sends stop calls for a run until the target confirms one, then reads the outcome from the target's lists. */
 Awaitable<void> RunAgentService::stopRun(schema::RunOrder order) {
-  const std::string& life = order.target();
+  const std::string& incarnation = order.target();
   const RunKey key = runKeyOf(order.task(), order.run());
-  if (!isOpen(life, key)) co_return;
+  if (!isOpen(incarnation, key)) co_return;
   m_runs[key].busy = true;
   const Duration limit = milliseconds(m_context.settings.runner().order_limit_ms());
   Duration refusedPause = internal::RefusedPause;
   while (true) {
-    Result<TargetAnswer> answer = co_await m_port->stop(life, order.task(), order.run(), token(), limit);
-    if (!isOpen(life, key)) co_return;
+    Result<TargetAnswer> answer = co_await m_port->stop(incarnation, order.task(), order.run(), token(), limit);
+    if (!isOpen(incarnation, key)) co_return;
     if (!answer) recordUnansweredCall();
     if (answer && answer->verdict == TargetVerdict::OtherLife) {
       endIncarnation();
@@ -395,18 +395,18 @@
     if (answer) {
       logEvent(schema::StopRefused, {{"task", taskText(order.task())},
                                      {"run", std::uint64_t{order.run()}},
-                                     {"target", life},
+                                     {"target", incarnation},
                                      {"reason", answer->reason}});
     }
     co_await sleepFor(answer ? refusedPause : internal::FailedPause);
     if (answer) refusedPause = std::min(2 * refusedPause, internal::MaxRefusedPause);
-    if (!isOpen(life, key)) co_return;
+    if (!isOpen(incarnation, key)) co_return;
   }
   // Only a poll sent after the confirmation shows whether the target had the run, and only if it lists the run or
   // leaves out no ends.
   while (!co_await poll(0) || (m_target->moreEnds && !isListed(key))) {
     co_await sleepFor(internal::FailedPause);
-    if (!isOpen(life, key)) co_return;
+    if (!isOpen(incarnation, key)) co_return;
   }
   const auto found = m_runs.find(key);
   if (found == m_runs.end()) co_return;
--- a/Courseloom/src/Agent/RunAgentService.h
+++ b/Courseloom/src/Agent/RunAgentService.h
@@ -98,13 +98,13 @@
   };
 
   Awaitable<void> announce(TargetAnnouncement announcement) override;
-  Awaitable<void> leave(std::string life) override;
+  Awaitable<void> leave(std::string incarnation) override;
   Awaitable<void> announceOnStrand(TargetAnnouncement announcement);
-  Awaitable<void> leaveOnStrand(std::string life);
+  Awaitable<void> leaveOnStrand(std::string incarnation);
   void handleAnnouncement(const TargetAnnouncement& announcement);
   void recordOtherIncarnation(const TargetAnnouncement& announcement);
   Awaitable<void> confirmLoop();
-  Awaitable<void> confirm(std::string life);
+  Awaitable<void> confirm(std::string incarnation);
   void beginIncarnation(const TargetAnnouncement& announcement);
   void applyAnnouncement(const TargetAnnouncement& announcement);
   void logResize(const schema::TargetReport& before) const;
@@ -139,7 +139,9 @@
   bool canRelay() const;
   /** \returns whether the lease granted by the leader still holds. */
   bool hasLease() const { return BootClock::now() < m_leaseUntil; }
-  bool isCurrentIncarnation(const std::string& life) const { return m_target && m_target->report.id() == life; }
+  bool isCurrentIncarnation(const std::string& incarnation) const {
+    return m_target && m_target->report.id() == incarnation;
+  }
   /** \returns the fencing token for calls to the current incarnation. */
   std::uint64_t token() const { return Fence::token(m_target->step, m_term); }
   std::uint64_t nextFenceStep() { return m_fence.raise(wallClockMs()); }
@@ -160,8 +162,8 @@
   bool hasCapacityFor(const schema::RunOrder& order) const;
   bool isListed(const RunKey& key) const;
   /** \returns whether a target incarnation is the current one and the outcome of a run there is still undetermined. */
-  bool isOpen(const std::string& life, const RunKey& key) const {
-    return isCurrentIncarnation(life) && m_runs.count(key) > 0;
+  bool isOpen(const std::string& incarnation, const RunKey& key) const {
+    return isCurrentIncarnation(incarnation) && m_runs.count(key) > 0;
   }
 
   DaemonContext m_context;
--- a/Courseloom/src/Agent/TargetPort.h
+++ b/Courseloom/src/Agent/TargetPort.h
@@ -47,7 +47,7 @@
   bool fenced = false;        ///< refused because the target has seen a higher fencing token
   std::uint64_t clockMs = 0;  ///< the target's steady clock when it answered, ms; 0 if the answer has none
   std::uint64_t bornMs = 0;   ///< start time of the answering incarnation, ms since 1970; 0 if the answer has none
-  std::string life;           ///< name of the answering incarnation; set in answers to hold, else empty
+  std::string incarnation;    ///< name of the answering incarnation; set in answers to hold, else empty
   std::vector<schema::RunReport> running;  ///< running runs, in answers to hold
   std::vector<schema::EndReport> ends;     ///< ended runs not forgotten yet, in answers to hold
   bool moreEnds = false;                   ///< the list of ends is at its limit; the target may have further ends
@@ -60,17 +60,17 @@
 class TargetPort {
  public:
   virtual ~TargetPort() = default;
-  /** Starts a run. \param life name of the incarnation to which the call is addressed. Another incarnation under the
-   * same identity may carry out the call all the same; only an answer to hold names the answering incarnation.
+  /** Starts a run. \param incarnation name of the incarnation to which the call is addressed. Another incarnation under
+   * the same identity may carry out the call all the same; only an answer to hold names the answering incarnation.
    * \param limit time limit of the whole exchange */
-  virtual Awaitable<Result<TargetAnswer>> start(std::string life, TargetStart start, Duration limit) = 0;
+  virtual Awaitable<Result<TargetAnswer>> start(std::string incarnation, TargetStart start, Duration limit) = 0;
   /** Stops a run; for parameters see start(). */
-  virtual Awaitable<Result<TargetAnswer>> stop(std::string life, schema::TaskId task, std::uint32_t run,
+  virtual Awaitable<Result<TargetAnswer>> stop(std::string incarnation, schema::TaskId task, std::uint32_t run,
                                                std::uint64_t token, Duration limit) = 0;
   /** Extends the deadline of all runs and lists running and ended ones; an agent polls its target by this call. */
-  virtual Awaitable<Result<TargetAnswer>> hold(std::string life, TargetHold hold, Duration limit) = 0;
+  virtual Awaitable<Result<TargetAnswer>> hold(std::string incarnation, TargetHold hold, Duration limit) = 0;
   /** Throttles a run. \param percent share of its full speed at which the run is to work */
-  virtual Awaitable<Result<TargetAnswer>> pace(std::string life, schema::TaskId task, std::uint32_t run,
+  virtual Awaitable<Result<TargetAnswer>> pace(std::string incarnation, schema::TaskId task, std::uint32_t run,
                                                std::uint32_t percent, std::uint64_t token, Duration limit) = 0;
 };
 
@@ -91,8 +91,8 @@
   virtual ~TargetRegistry() = default;
   /** Handles a registration or a heartbeat. */
   virtual Awaitable<void> announce(TargetAnnouncement announcement) = 0;
-  /** Handles the deregistration of an incarnation. \param life its name */
-  virtual Awaitable<void> leave(std::string life) = 0;
+  /** Handles the deregistration of an incarnation. \param incarnation its name */
+  virtual Awaitable<void> leave(std::string incarnation) = 0;
 };
 
 }  // namespace courseloom
--- a/test/AgentStage.cpp
+++ b/test/AgentStage.cpp
@@ -67,37 +67,37 @@
 
 // ---- the target
 
-Awaitable<Result<TargetAnswer>> FakeTarget::start(std::string life, TargetStart start, Duration) {
+Awaitable<Result<TargetAnswer>> FakeTarget::start(std::string incarnation, TargetStart start, Duration) {
   ++m_script.starts;
   m_script.lastDeadlineMs = start.deadlineMs;
-  m_script.startTokens[life] = std::max(m_script.startTokens[life], start.token);
+  m_script.startTokens[incarnation] = std::max(m_script.startTokens[incarnation], start.token);
   if (m_script.silent || m_script.startsGetNoAnswer) co_return noAnswer();
-  if (life != m_script.life) co_return answerOf(TargetVerdict::OtherLife);
+  if (incarnation != m_script.incarnation) co_return answerOf(TargetVerdict::OtherLife);
   if (m_script.refusesStarts) co_return answerOf(TargetVerdict::Refused, "room");
   co_return answerOf(TargetVerdict::Taken);
 }
 
-Awaitable<Result<TargetAnswer>> FakeTarget::stop(std::string life, schema::TaskId, std::uint32_t, std::uint64_t,
+Awaitable<Result<TargetAnswer>> FakeTarget::stop(std::string incarnation, schema::TaskId, std::uint32_t, std::uint64_t,
                                                  Duration) {
   ++m_script.stops;
   if (m_script.silent) co_return noAnswer();
-  if (life != m_script.life) co_return answerOf(TargetVerdict::OtherLife);
+  if (incarnation != m_script.incarnation) co_return answerOf(TargetVerdict::OtherLife);
   if (m_script.stops <= m_script.stopsRefused) co_return answerOf(TargetVerdict::Refused, "429");
   ++m_script.stopsTaken;
   co_return answerOf(TargetVerdict::Taken);
 }
 
-Awaitable<Result<TargetAnswer>> FakeTarget::hold(std::string life, TargetHold hold, Duration) {
+Awaitable<Result<TargetAnswer>> FakeTarget::hold(std::string incarnation, TargetHold hold, Duration) {
   co_await sleepFor(milliseconds(std::min<std::uint32_t>(hold.waitMs, 20)));
   if (m_script.silent) co_return noAnswer();
-  if (m_script.busy || life == m_script.busyFor) co_return answerOf(TargetVerdict::Refused, "429");
-  if (life != m_script.life) co_return answerOf(TargetVerdict::OtherLife);
+  if (m_script.busy || incarnation == m_script.busyFor) co_return answerOf(TargetVerdict::Refused, "429");
+  if (incarnation != m_script.incarnation) co_return answerOf(TargetVerdict::OtherLife);
   ++m_script.looks;
-  m_script.lookTokens.try_emplace(life, hold.token);
+  m_script.lookTokens.try_emplace(incarnation, hold.token);
   m_script.lastSeen = hold.lastSeen;
   co_await sleepFor(m_script.answersAfter);
   TargetAnswer answer = answerOf(TargetVerdict::Taken);
-  answer.life = m_script.life;
+  answer.incarnation = m_script.incarnation;
   answer.ends = m_script.ends;
   answer.moreEnds = m_script.moreEnds;
   if (m_script.standsStill) {
@@ -151,13 +151,13 @@
 
 void Stage::beginNextLife(bool silent) {
   run(milliseconds(300));
-  target.life = "i-2";
+  target.incarnation = "i-2";
   target.silent = silent;
   announce("i-2", 1);
 }
 
-void Stage::announce(const std::string& life, std::uint64_t sequence) {
-  asio::co_spawn(io, deliver("/" + life + "/" + std::to_string(sequence) + "/ready"), asio::detached);
+void Stage::announce(const std::string& incarnation, std::uint64_t sequence) {
+  asio::co_spawn(io, deliver("/" + incarnation + "/" + std::to_string(sequence) + "/ready"), asio::detached);
 }
 
 void Stage::resize(std::uint64_t sequence, unsigned accelerators) {
--- a/test/AgentStage.h
+++ b/test/AgentStage.h
@@ -29,13 +29,13 @@
  * \brief What the target beside an agent does, and what it was asked.
  */
 struct TargetScript {
-  std::string life = "i-1";             ///< identity that it answers to; a call for another one is told so
+  std::string incarnation = "i-1";      ///< identity that it answers to; a call for another one is told so
   bool startsGetNoAnswer = false;       ///< a start gets no answer and stays on its way
   bool refusesStarts = true;            ///< a start that is answered is refused for want of room
   unsigned stopsRefused = 0;            ///< so many stops are answered 429 and do nothing
   bool silent = false;                  ///< answers nothing
-  bool busy = false;                    ///< answers looks with 429, whatever life they are meant for
-  std::string busyFor;                  ///< answers looks that are meant for this life with 429
+  bool busy = false;                    ///< answers looks with 429, whatever incarnation they are meant for
+  std::string busyFor;                  ///< answers looks that are meant for this incarnation with 429
   bool standsStill = false;             ///< lists a run that does not move
   std::vector<schema::EndReport> ends;  ///< what it lists as ended
   Duration answersAfter{};              ///< looks are answered this late
@@ -46,8 +46,8 @@
   unsigned stops = 0;
   unsigned stopsTaken = 0;
   unsigned looks = 0;                                ///< answered ones
-  std::map<std::string, std::uint64_t> startTokens;  ///< highest token of a start, by the life that was meant
-  std::map<std::string, std::uint64_t> lookTokens;   ///< token of the first answered look, by life
+  std::map<std::string, std::uint64_t> startTokens;  ///< highest token of a start, by the incarnation that was meant
+  std::map<std::string, std::uint64_t> lookTokens;   ///< token of the first answered look, by incarnation
   std::uint64_t lastSeen = 0;                        ///< ends that the newest answered look let the target forget
 };
 
@@ -57,12 +57,12 @@
 class FakeTarget : public TargetPort {
  public:
   explicit FakeTarget(TargetScript& script) : m_script(script) {}
-  Awaitable<Result<TargetAnswer>> start(std::string life, TargetStart start, Duration limit) override;
-  Awaitable<Result<TargetAnswer>> stop(std::string life, schema::TaskId task, std::uint32_t run, std::uint64_t term,
-                                       Duration limit) override;
-  Awaitable<Result<TargetAnswer>> hold(std::string life, TargetHold hold, Duration limit) override;
-  Awaitable<Result<TargetAnswer>> pace(std::string life, schema::TaskId task, std::uint32_t run, std::uint32_t percent,
+  Awaitable<Result<TargetAnswer>> start(std::string incarnation, TargetStart start, Duration limit) override;
+  Awaitable<Result<TargetAnswer>> stop(std::string incarnation, schema::TaskId task, std::uint32_t run,
                                        std::uint64_t term, Duration limit) override;
+  Awaitable<Result<TargetAnswer>> hold(std::string incarnation, TargetHold hold, Duration limit) override;
+  Awaitable<Result<TargetAnswer>> pace(std::string incarnation, schema::TaskId task, std::uint32_t run,
+                                       std::uint32_t percent, std::uint64_t term, Duration limit) override;
 
  private:
   TargetScript& m_script;
@@ -78,23 +78,24 @@
   TargetScript* target = nullptr;
 
  protected:
-  /** Adds the order to start run 1 to the first answer to a report of life i-1. \returns whether this is that answer */
+  /** Adds the order to start run 1 to the first answer to a report of incarnation i-1. \returns whether this is that
+   * answer */
   bool orderOnce(const schema::AttendRequest& request, schema::AttendReply& answer);
   bool m_ordered = false;
 };
 
 /** \class Stage
  * \brief An agent between a leader and a target that are both played by the test. The target announces itself once, as
- * life i-1.
+ * incarnation i-1.
  */
 class Stage {
  public:
   explicit Stage(FakeLeader& leader, bool draining = false, std::uint32_t maxHoldMs = 6000);
   void run(Duration length) { io.run_for(length); }
-  /** After life i-1 was found: i-2 takes its place and announces itself once. */
+  /** After incarnation i-1 was found: i-2 takes its place and announces itself once. */
   void beginNextLife(bool silent = false);
   /** The target's process, or the network, delivers a heartbeat. */
-  void announce(const std::string& life, std::uint64_t sequence);
+  void announce(const std::string& incarnation, std::uint64_t sequence);
   /** Life i-1 says that it has so many accelerators now. */
   void resize(std::uint64_t sequence, unsigned accelerators);
 
--- a/test/platform_calls.cpp
+++ b/test/platform_calls.cpp
@@ -84,6 +84,6 @@
   asio::co_spawn(io, look(*port, answer), asio::detached);
   io.run_for(milliseconds(300));
   cr_assert(answer.has_value());
-  cr_assert_str_eq(answer->life.c_str(), "i-1@8");
+  cr_assert_str_eq(answer->incarnation.c_str(), "i-1@8");
   cr_assert_str_eq(std::string(peer.heard["X-Courseloom-Target-Instance"]).c_str(), "i-1");
 }
--- a/test/platform_formats.cpp
+++ b/test/platform_formats.cpp
@@ -128,8 +128,8 @@
   cr_assert(farewell && farewell->name() == "i-1@7");
   Result<TargetLife> bare = readFarewell("i-1", "");
   cr_assert(bare && bare->name() == "i-1");
-  const TargetLife life = TargetLife::named("i-1@7");
-  cr_assert(life.id == "i-1" && life.bornMs == 7);
+  const TargetLife incarnation = TargetLife::named("i-1@7");
+  cr_assert(incarnation.id == "i-1" && incarnation.bornMs == 7);
   Result<TargetAnswer> look = readTargetLook(200, R"({"clock_ms":5,"running":[],"finished":[],"born":7})");
   cr_assert(look && look->bornMs == 7);
 }
--- a/test/run_agent_fates.cpp
+++ b/test/run_agent_fates.cpp
@@ -13,8 +13,8 @@
 //     11.347 the first target begins run 1
 //
 // An agent may call a run over only on a word that proves it. The other tests here are of the same kind: a heartbeat
-// that was long on its way says nothing about the target's present life, and an order's copy that arrives after its run
-// was settled begins nothing.
+// that was long on its way says nothing about the target's present incarnation, and an order's copy that arrives after
+// its run was settled begins nothing.
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -48,15 +48,15 @@
 class LivesLeader : public FakeLeader {
  public:
   Awaitable<Result<schema::AttendReply>> attend(schema::AttendRequest request) override {
-    const std::string& life = request.target().id();
-    if (!life.empty() && (lives.empty() || lives.back() != life)) lives.push_back(life);
+    const std::string& incarnation = request.target().id();
+    if (!incarnation.empty() && (lives.empty() || lives.back() != incarnation)) lives.push_back(incarnation);
     if (request.wait_ms() > 0) co_await sleepFor(milliseconds(20));
     co_return grantReply(LongGrantMs);
   }
   std::vector<std::string> lives;
 };
 
-/** Orders one run of life i-1 once it is told to, in terms that rise. */
+/** Orders one run of incarnation i-1 once it is told to, in terms that rise. */
 class OrderingLeader : public FakeLeader {
  public:
   Awaitable<Result<schema::AttendReply>> attend(schema::AttendRequest request) override {
@@ -186,12 +186,13 @@
   std::uint64_t m_term = 1;
 };
 
-/** Orders one run when another life has taken the place of the one that is meant, and notes what is told of both. */
+/** Orders one run when another incarnation has taken the place of the one that is meant, and notes what is told of
+ * both. */
 class LateLeader : public FakeLeader {
  public:
   Awaitable<Result<schema::AttendReply>> attend(schema::AttendRequest request) override {
     schema::AttendReply answer = grantReply(LongGrantMs);
-    if (request.target().id() == "i-1") target->life = "i-2";
+    if (request.target().id() == "i-1") target->incarnation = "i-2";
     for (const schema::EndReport& end : request.ends()) ended = ended || end.kind() == schema::RunTargetLost;
     for (const schema::LostRun& lost : request.lost()) accused = accused || lost.crash() != schema::NoCrash;
     if (ended) reachable = request.target().reachable();
@@ -218,8 +219,8 @@
 
 }  // namespace
 
-// Each order to a life that had gone was answered by its successor, counted as a crash under the task, and was given
-// again within milliseconds: five innocent runs in a row gave its workflow up.
+// Each order to a incarnation that had gone was answered by its successor, counted as a crash under the task, and was
+// given again within milliseconds: five innocent runs in a row gave its workflow up.
 Test(run_agent_fates, a_start_that_another_life_answers_accuses_nothing_and_closes_the_target) {
   LateLeader leader;
   Stage stage(leader);
@@ -229,8 +230,8 @@
   cr_assert_not(leader.reachable, "the leader goes on giving orders to a life that is over");
 }
 
-// A look with the number of ends that the former life was to forget reached its successor, which forgot its own first
-// ones: a run that was done began again.
+// A look with the number of ends that the former incarnation was to forget reached its successor, which forgot its own
+// first ones: a run that was done began again.
 Test(run_agent_fates, ends_are_kept_while_another_life_has_announced_itself) {
   TakingLeader leader;
   Stage stage(leader);
@@ -286,7 +287,7 @@
 Test(run_agent_fates, a_restarted_agent_believes_no_heartbeat_of_a_former_life) {
   LivesLeader leader;
   Stage stage(leader);
-  stage.target.life = "i-2";  // the first heartbeat that the agent sees is a late one, of i-1
+  stage.target.incarnation = "i-2";  // the first heartbeat that the agent sees is a late one, of i-1
   stage.run(milliseconds(400));
   cr_assert(leader.lives.empty(), "told of %s, which is over", leader.lives.empty() ? "" : leader.lives[0].c_str());
   stage.announce("i-2", 1);
@@ -306,8 +307,8 @@
   cr_assert(leader.lives.back() == "i-2", "its one heartbeat must do, however late it answers");
 }
 
-// The next life has been asked, and its answer is on its way, when an order for the former one comes. If both carried
-// the same token, the order would be carried out after the answer, whose lists do not show its run.
+// The next incarnation has been asked, and its answer is on its way, when an order for the former one comes. If both
+// carried the same token, the order would be carried out after the answer, whose lists do not show its run.
 Test(run_agent_fates, an_order_for_the_present_life_has_a_lower_token_than_the_look_at_the_next) {
   OrderingLeader ordering;
   Stage stage(ordering);
@@ -325,7 +326,7 @@
 Test(run_agent_fates, a_refusal_confirms_no_life) {
   LivesLeader leader;
   Stage stage(leader);
-  stage.target.life = "i-2";
+  stage.target.incarnation = "i-2";
   stage.target.busy = true;  // the heartbeat is a late one of i-1
   stage.run(milliseconds(400));
   cr_assert(leader.lives.empty(), "a target that refuses has not told which life it is");
