--- a/Courseloom/src/Agent/FillerPacer.cpp
+++ b/Courseloom/src/Agent/FillerPacer.cpp
@@ -20,7 +20,7 @@
 }  // namespace
 }  // namespace internal
 
-bool FillerPacer::watches(const std::vector<schema::RunReport>& rows, const std::map<RunKey, RunTraits>& traits) {
+bool FillerPacer::isShared(const std::vector<schema::RunReport>& rows, const std::map<RunKey, RunTraits>& traits) {
   bool fills = false;
   bool serves = false;
   for (const schema::RunReport& row : rows) {
--- a/Courseloom/src/Agent/FillerPacer.h
+++ b/Courseloom/src/Agent/FillerPacer.h
@@ -56,7 +56,7 @@
   std::vector<PaceChange> decide(const std::vector<schema::RunReport>& rows, const std::map<RunKey, RunTraits>& traits,
                                  Time now);
   /** \returns whether fillers and serving runs share the target, so that it has to be polled more often. */
-  static bool watches(const std::vector<schema::RunReport>& rows, const std::map<RunKey, RunTraits>& traits);
+  static bool isShared(const std::vector<schema::RunReport>& rows, const std::map<RunKey, RunTraits>& traits);
 
  private:
   std::uint32_t nextPercent(std::uint32_t percent, double worstTail) const;
--- a/Courseloom/src/Agent/RunAgentService.cpp
+++ b/Courseloom/src/Agent/RunAgentService.cpp
@@ -258,7 +258,7 @@
       continue;
     }
     const bool uncommitted = !m_target->ends.empty();
-    const bool sharing = FillerPacer::watches(m_target->running, m_traits);
+    const bool sharing = FillerPacer::isShared(m_target->running, m_traits);
     const std::uint32_t longest = sharing ? internal::SharedPollMs : m_context.settings.runner().look_ms();
     const std::uint32_t waitMs = uncommitted || m_target->failures > 0 ? 0 : longest;
     const bool answered = co_await poll(waitMs);
--- a/test/filler_pacer.cpp
+++ b/test/filler_pacer.cpp
@@ -80,8 +80,8 @@
 
 Test(filler_pacer, only_fillers_beside_serving_runs_are_watched) {
   PacedTarget target;
-  cr_assert(FillerPacer::watches(target.rows(50), target.m_traits));
+  cr_assert(FillerPacer::isShared(target.rows(50), target.m_traits));
   target.m_traits[PacedTarget::serving()].latencyTargetMs = 0;
-  cr_assert_not(FillerPacer::watches(target.rows(50), target.m_traits));
-  cr_assert_not(FillerPacer::watches(target.rows(50), {}));
+  cr_assert_not(FillerPacer::isShared(target.rows(50), target.m_traits));
+  cr_assert_not(FillerPacer::isShared(target.rows(50), {}));
 }
