--- a/Courseloom/src/Agent/Fence.cpp
+++ b/Courseloom/src/Agent/Fence.cpp
@@ -23,13 +23,13 @@
 }  // namespace
 }  // namespace internal
 
-std::uint64_t Fence::raise(std::uint64_t nowMs) {
+std::uint64_t Fence::nextStep(std::uint64_t nowMs) {
   const std::uint64_t now = nowMs > internal::EpochMs ? (nowMs - internal::EpochMs) / internal::StepMs : 0;
   m_step = std::max(m_step + 1, now);
   return m_step;
 }
 
-void Fence::overtake() {
+void Fence::skipAhead() {
   if (m_skip > internal::MaxSkip) return;
   m_step += m_skip;
   m_skip *= 2;
--- a/Courseloom/src/Agent/Fence.h
+++ b/Courseloom/src/Agent/Fence.h
@@ -19,10 +19,10 @@
 class Fence {
  public:
   /** \returns a step above all previous ones. \param nowMs time of day, ms since 1970 */
-  std::uint64_t raise(std::uint64_t nowMs);
+  std::uint64_t nextStep(std::uint64_t nowMs);
   /** Raises the step after the target refused a token as too low: the time of day was set back while the agent was
    * restarted. The increment doubles with each refusal; beyond about a day the step stays. */
-  void overtake();
+  void skipAhead();
   /** \returns the token of a call to an incarnation whose fence step is known. \param term the leader's term; terms
    * above 20 bits count as the highest */
   static std::uint64_t token(std::uint64_t step, std::uint64_t term);
--- a/Courseloom/src/Agent/RunAgentLives.cpp
+++ b/Courseloom/src/Agent/RunAgentLives.cpp
@@ -109,7 +109,7 @@
   hold.token = Fence::token(step, m_term);
   Result<TargetAnswer> answer =
       co_await m_port->hold(incarnation, hold, milliseconds(m_context.settings.runner().order_limit_ms()));
-  if (answer && answer->fenced) m_fence.overtake();
+  if (answer && answer->fenced) m_fence.skipAhead();
   const auto found = m_announced.find(incarnation);
   if (!answer || answer->verdict == TargetVerdict::Refused || found == m_announced.end()) co_return;
   const bool accepted = answer->verdict == TargetVerdict::Taken;
--- a/Courseloom/src/Agent/RunAgentService.cpp
+++ b/Courseloom/src/Agent/RunAgentService.cpp
@@ -150,7 +150,7 @@
   if (!isCurrentIncarnation(incarnation)) co_return false;
   const bool accepted = answer && answer->verdict == TargetVerdict::Taken;
   m_target->fenced = answer && answer->fenced;
-  if (m_target->fenced) m_fence.overtake();
+  if (m_target->fenced) m_fence.skipAhead();
   if (accepted && answer->incarnation == incarnation) {
     m_target->step = std::max(m_target->step, step);
     applyPoll(*answer, BootClock::now());
--- a/Courseloom/src/Agent/RunAgentService.h
+++ b/Courseloom/src/Agent/RunAgentService.h
@@ -144,7 +144,7 @@
   }
   /** \returns the fencing token for calls to the current incarnation. */
   std::uint64_t token() const { return Fence::token(m_target->step, m_term); }
-  std::uint64_t nextFenceStep() { return m_fence.raise(wallClockMs()); }
+  std::uint64_t nextFenceStep() { return m_fence.nextStep(wallClockMs()); }
   std::uint64_t deadlineOnTarget(Time until) const;
   void recordClock(std::uint64_t clockMs);
   Time latestHoldEnd() const;
--- a/test/fence.cpp
+++ b/test/fence.cpp
@@ -17,8 +17,8 @@
 
 Test(fence, tokens_rise_with_each_life_and_with_each_term) {
   Fence fence;
-  const std::uint64_t first = fence.raise(Now);
-  const std::uint64_t second = fence.raise(Now);
+  const std::uint64_t first = fence.nextStep(Now);
+  const std::uint64_t second = fence.nextStep(Now);
   cr_assert_lt(Fence::token(first, 3), Fence::token(first, 4));
   cr_assert_lt(Fence::token(first, 3), Fence::token(second, 3), "two lives in the same instant");
 }
@@ -26,29 +26,29 @@
 // A call for a former life may be made under a newer leader than the look that found the next one.
 Test(fence, no_term_lifts_a_call_for_a_former_life_above_the_next_one) {
   Fence fence;
-  const std::uint64_t former = fence.raise(Now);
-  const std::uint64_t present = fence.raise(Now);
+  const std::uint64_t former = fence.nextStep(Now);
+  const std::uint64_t present = fence.nextStep(Now);
   cr_assert_lt(Fence::token(former, 1ULL << 40U), Fence::token(present, 0));
 }
 
 Test(fence, a_restarted_agent_begins_above_what_it_gave) {
   Fence former;
   Fence restarted;
-  const std::uint64_t before = former.raise(Now);
-  cr_assert_lt(Fence::token(before, 9), Fence::token(restarted.raise(Now + 1000), 0), "before it knows a leader");
+  const std::uint64_t before = former.nextStep(Now);
+  cr_assert_lt(Fence::token(before, 9), Fence::token(restarted.nextStep(Now + 1000), 0), "before it knows a leader");
 }
 
 Test(fence, a_restarted_agent_whose_clock_went_back_gets_above_what_it_gave) {
   Fence former;
-  const std::uint64_t before = former.raise(Now);
+  const std::uint64_t before = former.nextStep(Now);
   Fence restarted;
   unsigned refusals = 0;
-  for (; restarted.raise(Now - 3600000) < before; ++refusals) restarted.overtake();
+  for (; restarted.nextStep(Now - 3600000) < before; ++refusals) restarted.skipAhead();
   cr_assert_leq(refusals, 16, "an hour took %u refusals", refusals);
 }
 
 Test(fence, tokens_stay_exact_as_floating_point_numbers) {
   Fence fence;
-  const std::uint64_t token = Fence::token(fence.raise(Now + 10ULL * 365 * 24 * 3600 * 1000), 1ULL << 40U);
+  const std::uint64_t token = Fence::token(fence.nextStep(Now + 10ULL * 365 * 24 * 3600 * 1000), 1ULL << 40U);
   cr_assert_eq(static_cast<std::uint64_t>(static_cast<double>(token)), token);
 }
