--- a/Courseloom/src/Agent/RunAgentLives.cpp
+++ b/Courseloom/src/Agent/RunAgentLives.cpp
@@ -112,7 +112,7 @@
   if (answer && answer->fenced) m_fence.skipAhead();
   const auto found = m_announced.find(incarnation);
   if (!answer || answer->verdict == TargetVerdict::Refused || found == m_announced.end()) co_return;
-  const bool accepted = answer->verdict == TargetVerdict::Taken;
+  const bool accepted = answer->verdict == TargetVerdict::Accepted;
   if (accepted && answer->incarnation == incarnation) {
     beginIncarnation(found->second);
     m_target->step = step;
--- a/Courseloom/src/Agent/RunAgentService.cpp
+++ b/Courseloom/src/Agent/RunAgentService.cpp
@@ -148,7 +148,7 @@
   const Duration limit = milliseconds(waitMs) + milliseconds(m_context.settings.runner().order_limit_ms());
   Result<TargetAnswer> answer = co_await m_port->hold(incarnation, hold, limit);
   if (!isCurrentIncarnation(incarnation)) co_return false;
-  const bool accepted = answer && answer->verdict == TargetVerdict::Taken;
+  const bool accepted = answer && answer->verdict == TargetVerdict::Accepted;
   m_target->fenced = answer && answer->fenced;
   if (m_target->fenced) m_fence.skipAhead();
   if (accepted && answer->incarnation == incarnation) {
@@ -345,7 +345,7 @@
       co_await m_port->start(incarnation, start, milliseconds(m_context.settings.runner().order_limit_ms()));
   if (!isCurrentIncarnation(incarnation)) co_return;
   if (!answer) recordUnansweredCall();
-  if (answer && answer->verdict == TargetVerdict::Taken) {
+  if (answer && answer->verdict == TargetVerdict::Accepted) {
     m_target->unansweredSince = Time{};
     const auto found = m_runs.find(key);
     if (found == m_runs.end()) co_return;  // the run has ended already
@@ -391,7 +391,7 @@
       co_return;
     }
     // A refused stop has changed nothing at the target: a delayed start could still begin the run afterwards.
-    if (answer && answer->verdict == TargetVerdict::Taken) break;
+    if (answer && answer->verdict == TargetVerdict::Accepted) break;
     if (answer) {
       logEvent(schema::StopRefused, {{"task", taskText(order.task())},
                                      {"run", std::uint64_t{order.run()}},
--- a/Courseloom/src/Agent/TargetPort.h
+++ b/Courseloom/src/Agent/TargetPort.h
@@ -14,7 +14,7 @@
 
 /** A target's verdict on a call. */
 enum class TargetVerdict : std::uint8_t {
-  Taken,      ///< carried out, now or by an earlier copy of the call
+  Accepted,   ///< carried out, now or by an earlier copy of the call
   Refused,    ///< not carried out; this call never will be
   OtherLife,  ///< the incarnation to which the call was addressed has ended
 };
--- a/test/AgentStage.cpp
+++ b/test/AgentStage.cpp
@@ -25,7 +25,7 @@
   TargetAnswer answer;
   answer.verdict = verdict;
   answer.reason = reason;
-  if (verdict == TargetVerdict::Taken) answer.clockMs = TargetClockMs;
+  if (verdict == TargetVerdict::Accepted) answer.clockMs = TargetClockMs;
   return answer;
 }
 
@@ -74,7 +74,7 @@
   if (m_script.silent || m_script.startsGetNoAnswer) co_return noAnswer();
   if (incarnation != m_script.incarnation) co_return answerOf(TargetVerdict::OtherLife);
   if (m_script.refusesStarts) co_return answerOf(TargetVerdict::Refused, "room");
-  co_return answerOf(TargetVerdict::Taken);
+  co_return answerOf(TargetVerdict::Accepted);
 }
 
 Awaitable<Result<TargetAnswer>> FakeTarget::stop(std::string incarnation, schema::TaskId, std::uint32_t, std::uint64_t,
@@ -84,7 +84,7 @@
   if (incarnation != m_script.incarnation) co_return answerOf(TargetVerdict::OtherLife);
   if (m_script.stops <= m_script.stopsRefused) co_return answerOf(TargetVerdict::Refused, "429");
   ++m_script.stopsTaken;
-  co_return answerOf(TargetVerdict::Taken);
+  co_return answerOf(TargetVerdict::Accepted);
 }
 
 Awaitable<Result<TargetAnswer>> FakeTarget::hold(std::string incarnation, TargetHold hold, Duration) {
@@ -96,7 +96,7 @@
   m_script.lookTokens.try_emplace(incarnation, hold.token);
   m_script.lastSeen = hold.lastSeen;
   co_await sleepFor(m_script.answersAfter);
-  TargetAnswer answer = answerOf(TargetVerdict::Taken);
+  TargetAnswer answer = answerOf(TargetVerdict::Accepted);
   answer.incarnation = m_script.incarnation;
   answer.ends = m_script.ends;
   answer.moreEnds = m_script.moreEnds;
@@ -111,7 +111,7 @@
 
 Awaitable<Result<TargetAnswer>> FakeTarget::pace(std::string, schema::TaskId, std::uint32_t, std::uint32_t,
                                                  std::uint64_t, Duration) {
-  co_return answerOf(TargetVerdict::Taken);
+  co_return answerOf(TargetVerdict::Accepted);
 }
 
 // ---- the leader
