--- a/Courseloom/src/Control/WorkflowRunner.cpp
+++ b/Courseloom/src/Control/WorkflowRunner.cpp
@@ -333,7 +333,7 @@
   const schema::StepSpec& step = table().find(key.workflow)->step(key.task.step);
   if (step.long_running()) return true;
   const double leftMs =
-      static_cast<double>(target.report.remaining_ms()) - toMilliseconds(BootClock::now() - target.heard);
+      static_cast<double>(target.report.remaining_ms()) - toMilliseconds(BootClock::now() - target.lastContact);
   // A member that is done sooner waits for the others, and the end of its target breaks the whole gang.
   const double usualMs = expectedMs(table().find(key.workflow)->record.queue(), step);
   const auto remaining = [&](const RunTrack& run) { return remainingMs(run, usualMs); };
--- a/Courseloom/src/Scheduling/RunLedger.cpp
+++ b/Courseloom/src/Scheduling/RunLedger.cpp
@@ -182,7 +182,7 @@
   target.relayed = report.relayed();
   const schema::TargetReport before = std::exchange(target.report, report.target());
   if (!internal::same_description(before, target.report)) ++m_descriptions;
-  target.heard = now;
+  target.lastContact = now;
   if (target.firstTargetReport == Time{} && !report.target().id().empty()) target.firstTargetReport = now;
   const bool inReach = report.target().reachable() && !report.target().id().empty();
   // A restarted agent names no target at first. That does not mean that its target is lost.
@@ -294,7 +294,7 @@
 
 bool RunLedger::open(const TargetTrack& target, Time now) const {
   const schema::TargetReport& report = target.report;
-  const bool recentContact = now < target.heard + m_options.silence;
+  const bool recentContact = now < target.lastContact + m_options.silence;
   const bool reportOverdue =
       target.reportRequestedAt != Time{} && now > target.reportRequestedAt + m_options.reportRequestTimeout;
   return recentContact && !reportOverdue && !report.id().empty() && report.reachable() && !report.draining();
@@ -318,7 +318,7 @@
 
 bool RunLedger::fresh(const std::string& agent, Time now) const {
   const auto found = m_targets.find(agent);
-  return found != m_targets.end() && now <= found->second.heard + m_options.fresh;
+  return found != m_targets.end() && now <= found->second.lastContact + m_options.fresh;
 }
 
 void RunLedger::ask(const std::string& agent, Time now) {
@@ -346,7 +346,7 @@
 std::vector<RelayAgent> RunLedger::relays(Time now) const {
   std::vector<RelayAgent> relays;
   for (const auto& [agent, target] : m_targets) {
-    const bool direct = target.relay != 0 && !target.relayed && now <= target.heard + m_options.silence;
+    const bool direct = target.relay != 0 && !target.relayed && now <= target.lastContact + m_options.silence;
     if (direct) relays.push_back({target.relay, target.report.data_hall()});
   }
   return relays;
--- a/Courseloom/src/Scheduling/RunLedger.h
+++ b/Courseloom/src/Scheduling/RunLedger.h
@@ -85,7 +85,7 @@
   bool relayed = false;        ///< the newest report came through another node
   Time grantUntil{};           ///< end of the latest lease
   Time firstTargetReport{};    ///< when the agent first named a target; zero if it has not yet
-  Time heard{};                ///< last contact with the agent
+  Time lastContact{};          ///< last contact with the agent
   Time lastReachable{};        ///< when the target was last reachable; initially the time of the first report
   Time
       lostSince{};  ///< when the target was last reported unreachable, or replaced without such a report; zero if never
