--- a/Courseloom/src/Control/WorkflowAgents.cpp
+++ b/Courseloom/src/Control/WorkflowAgents.cpp
@@ -106,7 +106,7 @@
   if (m_ledger.isCurrent(request) && !m_ledger.complete(request)) co_return requestFullReport(request);
   const std::uint64_t term = m_driver.replica().term();
   const bool wasKnown = m_ledger.isKnown(request);
-  const bool wasAsked = m_ledger.asked(request.agent());
+  const bool wasAsked = m_ledger.reportRequested(request.agent());
   const TargetOffer offered = m_ledger.offer(request.agent(), received);
   schema::RecordRuns runs = collectEnds(request, received);
   // Answered at once: the agent's next report carries this term and is then processed.
@@ -119,7 +119,7 @@
   // Not delayed for an agent that is new to this leader: after an outage little is left of a former leader's lease.
   const bool hasUpdates = !wasKnown || request.ends_size() > 0 || request.started_size() > 0;
   while (leads() && !hasUpdates && !m_released && BootClock::now() < end) {
-    if (m_ledger.asked(request.agent()) || m_ledger.isOvertaken(request)) break;
+    if (m_ledger.reportRequested(request.agent()) || m_ledger.isOvertaken(request)) break;
     if (m_ledger.hasOrders(request.agent(), table(), BootClock::now())) break;
     co_await m_agentSignals[request.agent()].wait(end);
   }
--- a/Courseloom/src/Scheduling/RunLedger.cpp
+++ b/Courseloom/src/Scheduling/RunLedger.cpp
@@ -326,7 +326,7 @@
   if (target.reportRequestedAt == Time{}) target.reportRequestedAt = now;
 }
 
-bool RunLedger::asked(const std::string& agent) const {
+bool RunLedger::reportRequested(const std::string& agent) const {
   const auto found = m_targets.find(agent);
   return found != m_targets.end() && found->second.reportRequestedAt != Time{};
 }
--- a/Courseloom/src/Scheduling/RunLedger.h
+++ b/Courseloom/src/Scheduling/RunLedger.h
@@ -184,7 +184,7 @@
   /** Requests a report from an agent, which is not to be delayed any longer. */
   void ask(const std::string& agent, Time now);
   /** \returns whether a requested report of an agent is outstanding. */
-  bool asked(const std::string& agent) const;
+  bool reportRequested(const std::string& agent) const;
   /** \returns whether targets are still registering, as they do after a start: this replica has led for less than the
    * time for which an agent may be silent, or many of the known targets were first named within that time. */
   bool arriving(Time now) const;
--- a/test/run_ledger.cpp
+++ b/test/run_ledger.cpp
@@ -212,14 +212,14 @@
   test.pass(200);
   cr_assert_not(test.ledger.fresh("agent", test.now));
   test.ledger.ask("agent", test.now);
-  cr_assert(test.ledger.asked("agent"));
+  cr_assert(test.ledger.reportRequested("agent"));
   test.pass(100);
   test.ledger.ask("agent", test.now);
   cr_assert(test.ledger.open("agent", test.now), "its answer may be on its way");
   test.pass(100);
   cr_assert_not(test.ledger.open("agent", test.now), "asking again does not give it more time");
   test.attend(test.report());
-  cr_assert_not(test.ledger.asked("agent"));
+  cr_assert_not(test.ledger.reportRequested("agent"));
   cr_assert(test.ledger.open("agent", test.now));
   cr_assert(test.ledger.fresh("agent", test.now));
 }
