--- a/Courseloom/src/Control/WorkflowPlanning.cpp
+++ b/Courseloom/src/Control/WorkflowPlanning.cpp
@@ -140,7 +140,7 @@
   const auto inReach = [&](std::size_t target) { return m_ledger.fresh(targets[target].agent, now); };
   std::vector<RunPlan::Start> starts = courseloom::startsInReach(plan, steps, inReach, withheld);
   for (const std::size_t target : withheld) {
-    m_ledger.ask(targets[target].agent, now);
+    m_ledger.requestReport(targets[target].agent, now);
     notifyAgent(targets[target].agent);
   }
   return starts;
--- a/Courseloom/src/Scheduling/RunLedger.cpp
+++ b/Courseloom/src/Scheduling/RunLedger.cpp
@@ -321,7 +321,7 @@
   return found != m_targets.end() && now <= found->second.lastContact + m_options.fresh;
 }
 
-void RunLedger::ask(const std::string& agent, Time now) {
+void RunLedger::requestReport(const std::string& agent, Time now) {
   TargetTrack& target = track(agent);
   if (target.reportRequestedAt == Time{}) target.reportRequestedAt = now;
 }
--- a/Courseloom/src/Scheduling/RunLedger.h
+++ b/Courseloom/src/Scheduling/RunLedger.h
@@ -182,7 +182,7 @@
   /** \returns whether the last contact with an agent is so recent that a start will reach it. */
   bool fresh(const std::string& agent, Time now) const;
   /** Requests a report from an agent, which is not to be delayed any longer. */
-  void ask(const std::string& agent, Time now);
+  void requestReport(const std::string& agent, Time now);
   /** \returns whether a requested report of an agent is outstanding. */
   bool reportRequested(const std::string& agent) const;
   /** \returns whether targets are still registering, as they do after a start: this replica has led for less than the
--- a/test/run_ledger.cpp
+++ b/test/run_ledger.cpp
@@ -211,10 +211,10 @@
   cr_assert(test.ledger.fresh("agent", test.now));
   test.pass(200);
   cr_assert_not(test.ledger.fresh("agent", test.now));
-  test.ledger.ask("agent", test.now);
+  test.ledger.requestReport("agent", test.now);
   cr_assert(test.ledger.reportRequested("agent"));
   test.pass(100);
-  test.ledger.ask("agent", test.now);
+  test.ledger.requestReport("agent", test.now);
   cr_assert(test.ledger.open("agent", test.now), "its answer may be on its way");
   test.pass(100);
   cr_assert_not(test.ledger.open("agent", test.now), "asking again does not give it more time");
@@ -769,14 +769,14 @@
     test.pass(100);
     test.attend(withRunning(test.report(), 0, 1, percent));
   }
-  test.ledger.ask("agent", test.now);
+  test.ledger.requestReport("agent", test.now);
   cr_assert_eq(test.ledger.descriptions(), before);
   schema::AttendRequest shrunk = test.report();
   shrunk.mutable_target()->mutable_capacity()->set_accelerators(4);
   test.attend(shrunk);
   cr_assert_neq(test.ledger.descriptions(), before);
   const std::uint64_t after = test.ledger.descriptions();
-  test.ledger.ask("another", test.now);
+  test.ledger.requestReport("another", test.now);
   cr_assert_neq(test.ledger.descriptions(), after, "a target that is not planned yet has come");
 }
 
