--- a/Courseloom/src/Scheduling/RunLedger.cpp
+++ b/Courseloom/src/Scheduling/RunLedger.cpp
@@ -166,7 +166,7 @@
 
 Duration RunLedger::reportWait() const {
   const auto wanted = milliseconds(1000) * static_cast<std::int64_t>(m_targets.size()) / m_options.reportsEachSecond;
-  return std::min(Duration(wanted), m_options.silence - internal::ReportTransit);
+  return std::min(Duration(wanted), m_options.silenceLimit - internal::ReportTransit);
 }
 
 std::vector<schema::RunEnd> RunLedger::takeReport(const schema::AttendRequest& report, Time now) {
@@ -294,7 +294,7 @@
 
 bool RunLedger::open(const TargetTrack& target, Time now) const {
   const schema::TargetReport& report = target.report;
-  const bool recentContact = now < target.lastContact + m_options.silence;
+  const bool recentContact = now < target.lastContact + m_options.silenceLimit;
   const bool reportOverdue =
       target.reportRequestedAt != Time{} && now > target.reportRequestedAt + m_options.reportRequestTimeout;
   return recentContact && !reportOverdue && !report.id().empty() && report.reachable() && !report.draining();
@@ -332,13 +332,13 @@
 }
 
 bool RunLedger::arriving(Time now) const {
-  if (now < m_leaderSince + m_options.silence) return true;
+  if (now < m_leaderSince + m_options.silenceLimit) return true;
   std::size_t named = 0;
   std::size_t recent = 0;
   for (const auto& [agent, target] : m_targets) {
     if (target.firstTargetReport == Time{}) continue;
     ++named;
-    if (now < target.firstTargetReport + m_options.silence) ++recent;
+    if (now < target.firstTargetReport + m_options.silenceLimit) ++recent;
   }
   return recent * internal::KnownPerArriving > named;
 }
@@ -346,7 +346,7 @@
 std::vector<RelayAgent> RunLedger::relays(Time now) const {
   std::vector<RelayAgent> relays;
   for (const auto& [agent, target] : m_targets) {
-    const bool direct = target.relay != 0 && !target.relayed && now <= target.lastContact + m_options.silence;
+    const bool direct = target.relay != 0 && !target.relayed && now <= target.lastContact + m_options.silenceLimit;
     if (direct) relays.push_back({target.relay, target.report.data_hall()});
   }
   return relays;
--- a/Courseloom/src/Scheduling/RunLedger.h
+++ b/Courseloom/src/Scheduling/RunLedger.h
@@ -35,7 +35,7 @@
   Duration grant = milliseconds(5500);         ///< lease: how long an agent may hold runs after an answer of the leader
   Duration slack = milliseconds(300);          ///< added to the end of a lease before the agent's runs count as lapsed
   Duration leavingGrant = milliseconds(5500);  ///< upper limit of the lease while the agent's target is draining
-  Duration silence = milliseconds(2500);       ///< an agent gets no new runs once its last contact is this long ago
+  Duration silenceLimit = milliseconds(2500);  ///< an agent gets no new runs once its last contact is this long ago
   Duration redeliverAfter = milliseconds(1500);  ///< an order without a reported result is sent again after this time
   /** An agent whose last contact is at most this long ago is taken to be reachable. Covers many round trips. */
   Duration fresh = milliseconds(150);
--- a/test/short_reports.cpp
+++ b/test/short_reports.cpp
@@ -150,7 +150,7 @@
   const double atTwice = toMilliseconds(ledgerWith(1620).reportWait());
   cr_assert_float_eq(atMany, 810.0, 1.0);
   cr_assert_gt(atTwice, atMany);
-  cr_assert(ledgerWith(4000).reportWait() + milliseconds(1000) <= options.silence, "agents would seem silent");
+  cr_assert(ledgerWith(4000).reportWait() + milliseconds(1000) <= options.silenceLimit, "agents would seem silent");
 }
 
 Test(short_reports, what_a_leader_did_not_take_in_is_told_again_whole) {
