--- a/Courseloom/src/Control/JobRunner.cpp
+++ b/Courseloom/src/Control/JobRunner.cpp
@@ -136,14 +136,14 @@
     if (isEnded(job.phase())) continue;
     for (const schema::Lease& lease : job.leases()) ownLeases.insert(lease.number());
   }
-  std::map<std::string, Capacity> foreign;
+  std::map<std::string, WorkerCapacity> foreign;
   m_leases.clear();
   for (const schema::LeaseReport& lease : report.leases()) {
     m_leases[lease.number()] = lease;
     const bool live = lease.phase() == schema::TaskRunning || lease.phase() == schema::TaskReserved;
     if (!live || ownLeases.count(lease.number()) > 0) continue;
     // The lease is newer than this leader's applied state, or belongs to no job; its resources are not free either way.
-    Capacity& used = foreign[lease.worker()];
+    WorkerCapacity& used = foreign[lease.worker()];
     for (const std::uint32_t accelerator : lease.accelerators()) used.accelerators |= 1ULL << accelerator;
     used.cores += lease.used_cores();
     used.memoryMb += static_cast<std::int64_t>(lease.used_memory_mb());
--- a/Courseloom/src/Scheduling/GuaranteeBook.cpp
+++ b/Courseloom/src/Scheduling/GuaranteeBook.cpp
@@ -20,8 +20,8 @@
 
 /** \returns, for each worker, the capacity that both arguments contain: the part of the usable capacity that is free.
  */
-Capacities intersection(const Capacities& lhs, const Capacities& rhs) {
-  Capacities common(lhs.size());
+WorkerCapacities intersection(const WorkerCapacities& lhs, const WorkerCapacities& rhs) {
+  WorkerCapacities common(lhs.size());
   for (std::size_t i = 0; i < lhs.size(); ++i) {
     common[i] = {lhs[i].accelerators & rhs[i].accelerators, std::min(lhs[i].cores, rhs[i].cores),
                  std::min(lhs[i].memoryMb, rhs[i].memoryMb)};
@@ -66,9 +66,9 @@
   return order;
 }
 
-bool GuaranteeBook::keepWitness(Guarantee& guarantee, Capacities& capacity) const {
+bool GuaranteeBook::keepWitness(Guarantee& guarantee, WorkerCapacities& capacity) const {
   if (!guarantee.witnessed || guarantee.witness.size() != guarantee.unused()) return false;
-  Capacities remaining = capacity;
+  WorkerCapacities remaining = capacity;
   for (const TaskPlace& place : guarantee.witness) {
     if (place.worker >= remaining.size() || !remaining[place.worker].covers(place.part)) return false;
     remaining[place.worker].subtract(place.part);
@@ -77,7 +77,8 @@
   return true;
 }
 
-bool GuaranteeBook::findWitness(Guarantee& guarantee, Capacities& capacity, const Capacities& preferred) const {
+bool GuaranteeBook::findWitness(Guarantee& guarantee, WorkerCapacities& capacity,
+                                const WorkerCapacities& preferred) const {
   const schema::Shape shape = guarantee.unusedShape();
   guarantee.reason.clear();
   guarantee.witness.clear();
@@ -94,7 +95,7 @@
   return guarantee.witnessed;
 }
 
-bool GuaranteeBook::findWitnesses(Capacities capacity, const Capacities& preferred, bool keepValid) {
+bool GuaranteeBook::findWitnesses(WorkerCapacities capacity, const WorkerCapacities& preferred, bool keepValid) {
   std::vector<std::size_t> missing;
   for (const std::size_t i : searchOrder()) {
     const bool kept = keepValid && keepWitness(m_guarantees[i], capacity);
@@ -105,13 +106,13 @@
   return all;
 }
 
-bool GuaranteeBook::rebuild(const Capacities& capacity, const Capacities& free) {
+bool GuaranteeBook::rebuild(const WorkerCapacities& capacity, const WorkerCapacities& free) {
   return findWitnesses(capacity, free, true) || findWitnesses(capacity, free, false) ||
          findWitnesses(capacity, capacity, false);
 }
 
-bool GuaranteeBook::canWitnessAll(const Capacities& capacity) const {
-  Capacities left = capacity;
+bool GuaranteeBook::canWitnessAll(const WorkerCapacities& capacity) const {
+  WorkerCapacities left = capacity;
   for (const std::size_t i : searchOrder()) {
     const Guarantee& guarantee = m_guarantees[i];
     if (guarantee.unused() == 0) continue;
--- a/Courseloom/src/Scheduling/GuaranteeBook.h
+++ b/Courseloom/src/Scheduling/GuaranteeBook.h
@@ -46,18 +46,18 @@
   void setGuarantees(std::vector<Guarantee> guarantees);
   /** Finds the witnesses again. \param capacity live capacity without what charged gangs hold \param free capacity that
    * nobody holds; it is preferred, so that fewer gangs are reclaimed \returns whether every guarantee has a witness */
-  bool rebuild(const Capacities& capacity, const Capacities& free);
+  bool rebuild(const WorkerCapacities& capacity, const WorkerCapacities& free);
   /** \returns whether a capacity has room for witnesses of all guarantees. Changes nothing. */
-  bool canWitnessAll(const Capacities& capacity) const;
+  bool canWitnessAll(const WorkerCapacities& capacity) const;
   Guarantee* find(const std::string& name);
   std::vector<Guarantee>& guarantees() { return m_guarantees; }
   const std::vector<Guarantee>& guarantees() const { return m_guarantees; }
 
  private:
   std::vector<std::size_t> searchOrder() const;
-  bool keepWitness(Guarantee& guarantee, Capacities& capacity) const;
-  bool findWitness(Guarantee& guarantee, Capacities& capacity, const Capacities& preferred) const;
-  bool findWitnesses(Capacities capacity, const Capacities& preferred, bool keepValid);
+  bool keepWitness(Guarantee& guarantee, WorkerCapacities& capacity) const;
+  bool findWitness(Guarantee& guarantee, WorkerCapacities& capacity, const WorkerCapacities& preferred) const;
+  bool findWitnesses(WorkerCapacities capacity, const WorkerCapacities& preferred, bool keepValid);
 
   const Topology& m_topology;
   PlacementSearch m_search;
--- a/Courseloom/src/Scheduling/Placement.cpp
+++ b/Courseloom/src/Scheduling/Placement.cpp
@@ -9,19 +9,19 @@
 
 namespace courseloom {
 
-void Capacity::add(const Capacity& other) {
+void WorkerCapacity::add(const WorkerCapacity& other) {
   accelerators |= other.accelerators;
   cores += other.cores;
   memoryMb += other.memoryMb;
 }
 
-void Capacity::subtract(const Capacity& other) {
+void WorkerCapacity::subtract(const WorkerCapacity& other) {
   accelerators &= ~other.accelerators;
   cores -= other.cores;
   memoryMb -= other.memoryMb;
 }
 
-unsigned Capacity::fits(const schema::Shape& shape) const {
+unsigned WorkerCapacity::fits(const schema::Shape& shape) const {
   unsigned count = std::numeric_limits<unsigned>::max();
   const auto bound = [&count](std::int64_t have, std::int64_t need) {
     if (need > 0) count = std::min(count, static_cast<unsigned>(std::max<std::int64_t>(have, 0) / need));
@@ -32,8 +32,8 @@
   return std::min(count, shape.tasks());
 }
 
-Capacity Capacity::allocate(const schema::Shape& shape) {
-  Capacity part{0, shape.cores(), static_cast<std::int64_t>(shape.memory_mb())};
+WorkerCapacity WorkerCapacity::allocate(const schema::Shape& shape) {
+  WorkerCapacity part{0, shape.cores(), static_cast<std::int64_t>(shape.memory_mb())};
   AcceleratorMask left = accelerators;
   for (unsigned i = 0; i < shape.accelerators(); ++i) {
     const AcceleratorMask lowest = left & (~left + 1);
@@ -44,19 +44,19 @@
   return part;
 }
 
-bool Capacity::covers(const Capacity& other) const {
+bool WorkerCapacity::covers(const WorkerCapacity& other) const {
   return (other.accelerators & ~accelerators) == 0 && other.cores <= cores && other.memoryMb <= memoryMb;
 }
 
-void subtractAll(Capacities& capacity, const Placement& placement) {
+void subtractAll(WorkerCapacities& capacity, const Placement& placement) {
   for (const TaskPlace& place : placement) capacity[place.worker].subtract(place.part);
 }
 
-void addAll(Capacities& capacity, const Placement& placement) {
+void addAll(WorkerCapacities& capacity, const Placement& placement) {
   for (const TaskPlace& place : placement) capacity[place.worker].add(place.part);
 }
 
-bool coversAll(Capacities capacity, const Placement& placement) {
+bool coversAll(WorkerCapacities capacity, const Placement& placement) {
   for (const TaskPlace& place : placement) {
     if (!capacity[place.worker].covers(place.part)) return false;
     capacity[place.worker].subtract(place.part);
@@ -64,9 +64,9 @@
   return true;
 }
 
-void setAside(Capacities& capacity, const Placement& placement) {
+void setAside(WorkerCapacities& capacity, const Placement& placement) {
   for (const TaskPlace& place : placement) {
-    Capacity& remaining = capacity[place.worker];
+    WorkerCapacity& remaining = capacity[place.worker];
     remaining.accelerators &= ~place.part.accelerators;
     remaining.cores = std::max<std::int64_t>(0, remaining.cores - place.part.cores);
     remaining.memoryMb = std::max<std::int64_t>(0, remaining.memoryMb - place.part.memoryMb);
@@ -117,8 +117,8 @@
   }
 }
 
-Capacities Topology::total() const {
-  Capacities all;
+WorkerCapacities Topology::total() const {
+  WorkerCapacities all;
   all.reserve(m_workers.size());
   for (const schema::Worker& worker : m_workers) {
     const unsigned count = std::min(worker.accelerators(), 64U);
@@ -128,7 +128,7 @@
   return all;
 }
 
-Placement PlacementSearch::find(const schema::Shape& shape, const Capacities& available,
+Placement PlacementSearch::find(const schema::Shape& shape, const WorkerCapacities& available,
                                 const std::vector<double>& costs, bool bestFit) const {
   const auto costOf = [&costs](WorkerIndex worker) { return costs.empty() ? 0.0 : costs[worker]; };
   Candidate best;
@@ -162,7 +162,7 @@
   });
   Placement placement;
   for (const WorkerIndex worker : order) {
-    Capacity free = available[worker];
+    WorkerCapacity free = available[worker];
     for (unsigned fits = free.fits(shape); fits > 0 && placement.size() < shape.tasks(); --fits) {
       placement.push_back({worker, free.allocate(shape)});
     }
@@ -170,7 +170,7 @@
   return placement;
 }
 
-double fragmentationOf(const Topology& topology, const Capacities& free) {
+double fragmentationOf(const Topology& topology, const WorkerCapacities& free) {
   unsigned total = 0;
   unsigned largest = 0;
   for (const auto& rack : topology.groups(schema::SameRack)) {
--- a/Courseloom/src/Scheduling/Placement.h
+++ b/Courseloom/src/Scheduling/Placement.h
@@ -17,26 +17,26 @@
 /** Position of a worker in Topology::workers(). */
 using WorkerIndex = std::uint32_t;
 
-/** \class Capacity
+/** \class WorkerCapacity
  * \brief Resources of one worker: what is free on it, or the part that one task holds.
  */
-struct Capacity {
+struct WorkerCapacity {
   AcceleratorMask accelerators = 0;
   std::int64_t cores = 0;
   std::int64_t memoryMb = 0;
 
-  void add(const Capacity& other);
-  void subtract(const Capacity& other);
+  void add(const WorkerCapacity& other);
+  void subtract(const WorkerCapacity& other);
   unsigned acceleratorCount() const { return static_cast<unsigned>(__builtin_popcountll(accelerators)); }
   /** \returns how many tasks of a shape fit in, at most the number that the shape has. */
   unsigned fits(const schema::Shape& shape) const;
   /** Allocates one task: subtracts its lowest free accelerators, cores and memory, which must be available. \returns
    * the allocated part */
-  Capacity allocate(const schema::Shape& shape);
+  WorkerCapacity allocate(const schema::Shape& shape);
   /** \returns whether this capacity contains all of another one. */
-  bool covers(const Capacity& other) const;
+  bool covers(const WorkerCapacity& other) const;
   /** \returns whether both contain a common accelerator. */
-  bool intersects(const Capacity& other) const { return (accelerators & other.accelerators) != 0; }
+  bool intersects(const WorkerCapacity& other) const { return (accelerators & other.accelerators) != 0; }
 };
 
 /** \class TaskPlace
@@ -44,22 +44,22 @@
  */
 struct TaskPlace {
   WorkerIndex worker = 0;
-  Capacity part;
+  WorkerCapacity part;
 };
 
 /** Places of the tasks of one gang. */
 using Placement = std::vector<TaskPlace>;
-/** Capacity by WorkerIndex. */
-using Capacities = std::vector<Capacity>;
+/** WorkerCapacity by WorkerIndex. */
+using WorkerCapacities = std::vector<WorkerCapacity>;
 
 /** Subtracts all places of a placement. */
-void subtractAll(Capacities& capacity, const Placement& placement);
+void subtractAll(WorkerCapacities& capacity, const Placement& placement);
 /** Adds all places of a placement. */
-void addAll(Capacities& capacity, const Placement& placement);
+void addAll(WorkerCapacities& capacity, const Placement& placement);
 /** \returns whether the capacity covers all places of a placement together. */
-bool coversAll(Capacities capacity, const Placement& placement);
+bool coversAll(WorkerCapacities capacity, const Placement& placement);
 /** Subtracts all places of a placement, parts of which may be held already: cores and memory do not fall below zero. */
-void setAside(Capacities& capacity, const Placement& placement);
+void setAside(WorkerCapacities& capacity, const Placement& placement);
 
 /** \class Topology
  * \brief The workers with their racks and data halls, and the groups of workers that count as adjacent.
@@ -74,7 +74,7 @@
   /** \returns the groups of workers for an adjacency. One group must hold all tasks of a shape with that adjacency. */
   const std::vector<std::vector<WorkerIndex>>& groups(schema::Adjacency adjacency) const;
   /** \returns the total capacity of each worker. */
-  Capacities total() const;
+  WorkerCapacities total() const;
 
  private:
   std::vector<schema::Worker> m_workers;
@@ -100,7 +100,7 @@
   /** \param available capacity that may be used, by worker \param costs cost of using each worker; empty if all are
    * zero \param bestFit whether workers with the fewest free accelerators are filled first; otherwise those with the
    * most are, which spreads the tasks \returns one place per task, or an empty placement if the shape does not fit */
-  Placement find(const schema::Shape& shape, const Capacities& available, const std::vector<double>& costs = {},
+  Placement find(const schema::Shape& shape, const WorkerCapacities& available, const std::vector<double>& costs = {},
                  bool bestFit = true) const;
 
  private:
@@ -115,6 +115,6 @@
 
 /** \returns the share of free accelerators outside the rack that has the most of them: 0 if all are in one rack or none
  * is free, close to 1 if they are scattered over many racks. */
-double fragmentationOf(const Topology& topology, const Capacities& free);
+double fragmentationOf(const Topology& topology, const WorkerCapacities& free);
 
 }  // namespace courseloom
--- a/Courseloom/src/Scheduling/Scheduler.cpp
+++ b/Courseloom/src/Scheduling/Scheduler.cpp
@@ -56,7 +56,7 @@
   m_reservation.reset();
 }
 
-void Scheduler::setForeign(const std::map<std::string, Capacity>& foreign) { m_foreign = foreign; }
+void Scheduler::setForeign(const std::map<std::string, WorkerCapacity>& foreign) { m_foreign = foreign; }
 
 void Scheduler::setGuarantees(const std::vector<schema::Object>& guarantees) {
   std::vector<Guarantee> next;
@@ -139,8 +139,8 @@
   }
 }
 
-Capacities Scheduler::witnessCapacity() const {
-  Capacities capacity = m_topology.total();
+WorkerCapacities Scheduler::witnessCapacity() const {
+  WorkerCapacities capacity = m_topology.total();
   for (const auto& [name, used] : m_foreign) {
     const int worker = m_topology.find(name);
     if (worker >= 0) capacity[static_cast<std::size_t>(worker)].subtract(used);
@@ -265,7 +265,7 @@
 bool Scheduler::witnessesSurvive(const std::string& guarantee, unsigned tasks, const Placement& placement) {
   // A gang outside guarantees is reclaimable, so it does not reduce the capacity for witnesses.
   if (!m_options.witness || guarantee.empty()) return true;
-  Capacities capacity = m_witnessCapacity;
+  WorkerCapacities capacity = m_witnessCapacity;
   subtractAll(capacity, placement);
   Guarantee* charged = m_book.find(guarantee);
   charged->used += tasks;
@@ -275,7 +275,7 @@
 }
 
 Placement Scheduler::witnessPlacement(const JobEntry& job, const Guarantee& guarantee) const {
-  Capacities witnessed(m_topology.workers().size());
+  WorkerCapacities witnessed(m_topology.workers().size());
   for (const TaskPlace& place : guarantee.witness) witnessed[place.worker].add(place.part);
   return m_search.find(job.spec.shape(), witnessed);
 }
@@ -313,7 +313,7 @@
     return true;
   }
   const bool pack = m_options.fragmentationWeight >= internal::PackFromWeight;
-  Capacities capacity = m_grantable;
+  WorkerCapacities capacity = m_grantable;
   if (m_reservation && expectedEnd(job, nowMs) > m_reservation->atMs) {
     setAside(capacity, m_reservation->placement);
   }
--- a/Courseloom/src/Scheduling/Scheduler.h
+++ b/Courseloom/src/Scheduling/Scheduler.h
@@ -65,7 +65,7 @@
   /** Replaces the inventory of live workers. Afterwards brokenJobs() returns the gangs with a task on a lost worker. */
   void setWorkers(std::vector<schema::Worker> workers);
   /** Replaces the capacity, by worker name, that tasks unknown to the scheduler use. It cannot be allocated. */
-  void setForeign(const std::map<std::string, Capacity>& foreign);
+  void setForeign(const std::map<std::string, WorkerCapacity>& foreign);
   /** Replaces the guarantees by those of the configuration. */
   void setGuarantees(const std::vector<schema::Object>& guarantees);
   /** Sets the workspaces and services that are paused or draining, in which no job may start. */
@@ -89,7 +89,7 @@
   const GuaranteeBook& guarantees() const { return m_book; }
   const Topology& topology() const { return m_topology; }
   /** \returns the capacity of each worker that no job and no unknown task holds. */
-  const Capacities& free() const { return m_free; }
+  const WorkerCapacities& free() const { return m_free; }
   double fragmentation() const { return fragmentationOf(m_topology, m_free); }
 
  private:
@@ -108,7 +108,7 @@
 
   static bool holdsLeases(schema::JobPhase phase);
   void recount();
-  Capacities witnessCapacity() const;
+  WorkerCapacities witnessCapacity() const;
   std::vector<JobEntry*> queueInOrder(std::uint64_t nowMs);
   int rankOf(const JobEntry& job, std::uint64_t nowMs) const;
   bool mayStart(JobEntry& job) const;
@@ -126,7 +126,7 @@
   std::vector<JobEntry*> victimsOn(const Placement& placement, schema::Urgency forUrgency, bool forOwner);
   const std::vector<double>& reclaimCosts(std::uint64_t nowMs);
   bool reclaimable(const JobEntry& job) const;
-  Capacities reclaimableCapacity(bool lowOnly) const;
+  WorkerCapacities reclaimableCapacity(bool lowOnly) const;
   void reserveFor(const JobEntry& job, std::uint64_t nowMs);
   std::uint64_t expectedEnd(const JobEntry& job, std::uint64_t nowMs) const;
 
@@ -134,7 +134,7 @@
   Topology m_topology;
   PlacementSearch m_search;
   GuaranteeBook m_book;
-  std::map<std::string, Capacity> m_foreign;
+  std::map<std::string, WorkerCapacity> m_foreign;
   std::set<std::string> m_blockedWorkspaces;
   std::set<std::string> m_blockedServices;
   std::map<std::string, JobEntry> m_jobs;
@@ -143,10 +143,10 @@
     Placement placement;
   };
   std::map<std::string, Nomination> m_nominations;  ///< by waiting job: places that are being reclaimed for it
-  Capacities m_free;                                ///< live capacity that no job and no unknown task holds
-  std::vector<double> m_costs;   ///< cost of reclaim, by worker; empty until a call of decide() needs it
-  Capacities m_witnessCapacity;  ///< live capacity without what gangs inside guarantees or unknown tasks hold
-  Capacities m_grantable;        ///< free capacity without nominated places
+  WorkerCapacities m_free;                          ///< live capacity that no job and no unknown task holds
+  std::vector<double> m_costs;         ///< cost of reclaim, by worker; empty until a call of decide() needs it
+  WorkerCapacities m_witnessCapacity;  ///< live capacity without what gangs inside guarantees or unknown tasks hold
+  WorkerCapacities m_grantable;        ///< free capacity without nominated places
   struct Reservation {
     std::string job;
     std::uint64_t atMs = 0;
--- a/Courseloom/src/Scheduling/SchedulerReclaim.cpp
+++ b/Courseloom/src/Scheduling/SchedulerReclaim.cpp
@@ -18,8 +18,8 @@
 
 // ---- reclaim
 
-Capacities Scheduler::reclaimableCapacity(bool lowOnly) const {
-  Capacities capacity = m_grantable;
+WorkerCapacities Scheduler::reclaimableCapacity(bool lowOnly) const {
+  WorkerCapacities capacity = m_grantable;
   for (const auto& [id, job] : m_jobs) {
     if (!reclaimable(job) || (lowOnly && job.spec.urgency() != schema::Low)) continue;
     addAll(capacity, job.held);
@@ -27,7 +27,7 @@
   // Nominated places are assigned already, even while another gang still holds them.
   for (const auto& [id, nomination] : m_nominations) {
     for (const TaskPlace& place : nomination.placement) {
-      Capacity& remaining = capacity[place.worker];
+      WorkerCapacity& remaining = capacity[place.worker];
       remaining.accelerators &= ~place.part.accelerators;
     }
   }
@@ -53,8 +53,8 @@
 std::vector<Scheduler::JobEntry*> Scheduler::victimsOn(const Placement& placement, schema::Urgency forUrgency,
                                                        bool forOwner) {
   std::vector<JobEntry*> victims;
-  Capacities free = m_free;
-  std::map<WorkerIndex, Capacity> required;
+  WorkerCapacities free = m_free;
+  std::map<WorkerIndex, WorkerCapacity> required;
   for (const TaskPlace& place : placement) required[place.worker].add(place.part);
   for (auto& [id, job] : m_jobs) {
     const bool allowed =
@@ -64,7 +64,7 @@
     for (const TaskPlace& place : job.held) {
       const auto demand = required.find(place.worker);
       if (demand == required.end()) continue;
-      const Capacity& remaining = free[place.worker];
+      const WorkerCapacity& remaining = free[place.worker];
       const bool insufficient = remaining.cores < demand->second.cores || remaining.memoryMb < demand->second.memoryMb;
       overlaps = overlaps || demand->second.intersects(place.part) || insufficient;
     }
@@ -133,7 +133,7 @@
     if (!running.held.empty()) ends.emplace_back(expectedEnd(running, nowMs), &running);
   }
   std::sort(ends.begin(), ends.end());
-  Capacities capacity = m_grantable;
+  WorkerCapacities capacity = m_grantable;
   std::size_t next = 0;
   // The number of jobs per step doubles, so the number of searches is logarithmic in the number of running jobs.
   for (std::size_t step = 1; next < ends.size(); step *= 2) {
