--- a/Courseloom/src/Agent/FillerPacer.h
+++ b/Courseloom/src/Agent/FillerPacer.h
@@ -7,7 +7,7 @@
 #include <map>
 #include <vector>
 
-#include "Courseloom/src/Scheduling/Room.h"
+#include "Courseloom/src/Scheduling/ResourceAmounts.h"
 #include "Courseloom/src/Scheduling/RunLedger.h"
 
 namespace courseloom {
@@ -18,7 +18,7 @@
 struct RunTraits {
   bool filler = false;                ///< uses only resources that other runs leave unused
   std::uint32_t latencyTargetMs = 0;  ///< tail latency that a serving run must not exceed, ms; 0 for none
-  Room need;                          ///< the run's demand on its target
+  ResourceAmounts need;               ///< the run's demand on its target
 };
 
 /** \class PaceChange
--- a/Courseloom/src/Agent/RunAgentLeader.cpp
+++ b/Courseloom/src/Agent/RunAgentLeader.cpp
@@ -172,7 +172,7 @@
   }
   // A copy of an order may arrive after its run was settled; by then the leader may have begun the next run.
   if (m_outcomes.count(key) > 0) return;
-  m_traits[key] = RunTraits{order.filler(), order.latency_target_ms(), roomOf(order)};
+  m_traits[key] = RunTraits{order.filler(), order.latency_target_ms(), resourceAmountsOf(order)};
   if (BootClock::now() >= until) return;
   if (found != m_runs.end()) {
     // The order was repeated: either the leader has not received the report of the run yet, or its state is unknown.
--- a/Courseloom/src/Agent/RunAgentLives.cpp
+++ b/Courseloom/src/Agent/RunAgentLives.cpp
@@ -42,15 +42,15 @@
   if (announcement.sequence <= m_target->sequence) return;
   const schema::TargetReport before = m_target->report;
   applyAnnouncement(announcement);
-  const bool resized = roomOf(before.capacity()) != roomOf(announcement.report.capacity());
+  const bool resized = resourceAmountsOf(before.capacity()) != resourceAmountsOf(announcement.report.capacity());
   if (resized) logResize(before);
   if (resized || before.draining() != announcement.report.draining()) notifyPendingChanges();
 }
 
 /** Logs a change of the target's capacity. \param before the previous description of the target */
 void RunAgentService::logResize(const schema::TargetReport& before) const {
-  const Room former = roomOf(before.capacity());
-  const Room current = roomOf(m_target->report.capacity());
+  const ResourceAmounts former = resourceAmountsOf(before.capacity());
+  const ResourceAmounts current = resourceAmountsOf(m_target->report.capacity());
   const auto number = [](std::int64_t amount) { return static_cast<std::uint64_t>(amount); };
   logEvent(schema::TargetResized, {{"target", m_target->report.id()},
                                    {"accelerators", number(current.accelerators)},
--- a/Courseloom/src/Agent/RunAgentService.cpp
+++ b/Courseloom/src/Agent/RunAgentService.cpp
@@ -312,14 +312,14 @@
 bool RunAgentService::hasCapacityFor(const schema::RunOrder& order) const {
   if (!m_target->report.has_capacity() || !order.has_need()) return true;
   const RunKey own = runKeyOf(order.task(), order.run());
-  Room freeCapacity = roomOf(m_target->report.capacity());
+  ResourceAmounts freeCapacity = resourceAmountsOf(m_target->report.capacity());
   for (const auto& [key, run] : m_runs) {
     if (key == own) continue;
     const auto traits = m_traits.find(key);
     if (traits == m_traits.end()) return false;  // the leader's next reply has the demand of this run
     freeCapacity.subtract(traits->second.need);
   }
-  return freeCapacity.holds(roomOf(order));
+  return freeCapacity.holds(resourceAmountsOf(order));
 }
 
 Awaitable<void> RunAgentService::startRun(schema::RunOrder order) {
--- a/Courseloom/src/Control/WorkflowPlanning.cpp
+++ b/Courseloom/src/Control/WorkflowPlanning.cpp
@@ -62,10 +62,10 @@
   if (steps.empty()) co_return schema::RecordRuns();
   const std::vector<PlannedTarget>& targets = planTargets();
   const std::vector<PlannedRun> active = planRuns(targets);
-  const unsigned keepWhole = freeTargetsToKeep(active, steps);
+  const unsigned keepFullyFree = freeTargetsToKeep(active, steps);
   const Term term = m_driver.replica().term();
   const Duration share = milliseconds(m_context.settings.control().plan_share_ms());
-  m_planner.begin(targets, active, steps, keepWhole, static_cast<double>(wallClockMs()));
+  m_planner.begin(targets, active, steps, keepFullyFree, static_cast<double>(wallClockMs()));
   Time shareEnds = BootClock::now() + share;
   bool yielded = false;
   while (!m_planner.advance([&shareEnds] { return BootClock::now() >= shareEnds; })) {
@@ -80,7 +80,7 @@
   if (!leads() || m_driver.replica().term() != term) co_return schema::RecordRuns();
   if (yielded) {
     for (std::size_t i = 0; i < steps.size(); ++i) steps[i].workflow = table().find(owners[i]);
-    dropOutdated(plan, steps, [&](std::size_t target) { return acceptsStarts(targets[target]); });
+    removeOutdated(plan, steps, [&](std::size_t target) { return acceptsStarts(targets[target]); });
   }
   stopPlanned(plan, steps);
   co_return recordStarts(startsInReach(plan, steps, targets), steps, targets);
@@ -213,7 +213,7 @@
     target.service = report.service();
     target.rack = report.rack();
     target.labels.insert(report.labels().begin(), report.labels().end());
-    target.capacity = roomOf(report.capacity());
+    target.capacity = resourceAmountsOf(report.capacity());
   }
 }
 
@@ -268,7 +268,7 @@
     run.need = shared->need;
     run.rank = shared->rank;
     run.stopping = track.stopWanted || shared->ended;
-    run.movable = shared->movable;
+    run.preemptible = shared->preemptible;
     if (shared->gang) run.gang = internal::gang_name(key);
     const double ranMs = toMilliseconds(now - track.startedAt);
     const double lostMs = shared->checkpointable ? std::min(ranMs, internal::CheckpointLossMs) : ranMs;
@@ -286,10 +286,10 @@
   shared.workflow = table().find(key.workflow);
   if (shared.workflow == nullptr) return shared;
   const schema::StepSpec& step = shared.workflow->step(key.task.step);
-  shared.need = roomOf(step);
+  shared.need = resourceAmountsOf(step);
   shared.rank = rankOfWorkflow(*shared.workflow);
   shared.ended = shared.workflow->ended();
-  shared.movable = !step.long_running();
+  shared.preemptible = !step.long_running();
   shared.gang = step.gang();
   shared.checkpointable = step.checkpointable();
   shared.cores = internal::cores_of(step);
@@ -374,14 +374,14 @@
   const auto found = m_serviceCapacities->find(workflow.record.service());
   const bool waves = m_context.settings.policy().waves() && found != m_serviceCapacities->end();
   const TaskTime taskMs = [&](const schema::StepSpec& step) { return expectedMs(workflow.record.queue(), step); };
-  return longestChainMs(workflow.record.spec(), taskMs, waves ? found->second : Room());
+  return criticalPathMs(workflow.record.spec(), taskMs, waves ? found->second : ResourceAmounts());
 }
 
 /** \returns the total capacity of each service's targets, whether they are open now or not. */
-std::map<std::string, Room> WorkflowRunner::serviceCapacities() const {
-  std::map<std::string, Room> capacities;
+std::map<std::string, ResourceAmounts> WorkflowRunner::serviceCapacities() const {
+  std::map<std::string, ResourceAmounts> capacities;
   for (const auto& [agent, track] : m_ledger.targets()) {
-    capacities[track.report.service()].add(roomOf(track.report.capacity()));
+    capacities[track.report.service()].add(resourceAmountsOf(track.report.capacity()));
   }
   return capacities;
 }
--- a/Courseloom/src/Control/WorkflowRunner.h
+++ b/Courseloom/src/Control/WorkflowRunner.h
@@ -25,10 +25,10 @@
 struct StepRunInfo {
   std::pair<std::string, StepKey> name;  ///< workflow and step
   const WorkflowState* workflow = nullptr;
-  Room need;  ///< resources that one task needs
+  ResourceAmounts need;  ///< resources that one task needs
   Rank rank = UrgentRank;
   bool ended = false;
-  bool movable = true;  ///< false for long-running steps
+  bool preemptible = true;  ///< false for long-running steps
   bool gang = false;
   bool checkpointable = false;
   double cores = 0.0;       ///< cores that a task takes, accelerators converted to cores
@@ -140,7 +140,7 @@
   std::vector<PlannedStep> planSteps();
   void addSteps(const WorkflowState& workflow, std::uint64_t nowMs, std::vector<PlannedStep>& steps);
   double objectiveChainMs(const WorkflowState& workflow);
-  std::map<std::string, Room> serviceCapacities() const;
+  std::map<std::string, ResourceAmounts> serviceCapacities() const;
   std::set<std::string> targetsToAvoid(const WorkflowState& workflow, const PlannedStep& step) const;
   const std::vector<std::string>& openTargets(const std::string& service);
   const schema::Queue* queueNamed(const std::string& name);
@@ -169,8 +169,9 @@
   std::set<std::string> m_guaranteed;   ///< workflows within their tenants' guarantees, in this plan
   std::set<std::string> m_trialAgents;  ///< agents whose targets run a trial start, in this plan
   std::size_t m_trialsLeft = 0;         ///< trial starts that this plan may still add
-  std::optional<std::map<std::string, Room>> m_serviceCapacities;  ///< by service; computed on first use in a plan
-  std::map<std::string, const schema::Queue*> m_queues;            ///< by name, in configuration m_queuesVersion
+  std::optional<std::map<std::string, ResourceAmounts>>
+      m_serviceCapacities;                               ///< by service; computed on first use in a plan
+  std::map<std::string, const schema::Queue*> m_queues;  ///< by name, in configuration m_queuesVersion
   std::uint64_t m_queuesVersion = 0;
   std::map<std::string, std::vector<std::string>> m_openTargets;  ///< by service; computed on first use in a plan
   double m_urgentPeak = 0.0;    ///< decaying maximum of accelerators that work of priority 0 needs at once
--- a/Courseloom/src/Control/WorkflowTrials.cpp
+++ b/Courseloom/src/Control/WorkflowTrials.cpp
@@ -90,7 +90,7 @@
       ++survived;
     }
   }
-  if (hasToBegin(step)) return step.tasks.size();
+  if (mustStartSoon(step)) return step.tasks.size();
   // A workflow without active runs must not wait for the trial starts of other workflows.
   const std::size_t left = step.workflow->activeRuns == 0 ? std::max<std::size_t>(1, m_trialsLeft) : m_trialsLeft;
   return std::min(left, trialsOfStep(underWay, survived));
@@ -100,7 +100,7 @@
 void WorkflowRunner::addStepParts(PlannedStep step, std::vector<PlannedStep>& steps) {
   if (step.workflow->accusedTasks == 0) return steps.push_back(std::move(step));
   const std::size_t most = newTrialsAllowed(step);
-  for (PlannedStep& part : divideForTrial(std::move(step), most)) {
+  for (PlannedStep& part : splitForTrial(std::move(step), most)) {
     if (part.trial) m_trialsLeft -= std::min(m_trialsLeft, part.tasks.size());
     steps.push_back(std::move(part));
   }
--- a/Courseloom/src/Scheduling/EndForecast.cpp
+++ b/Courseloom/src/Scheduling/EndForecast.cpp
@@ -22,7 +22,7 @@
 class FittingTasks {
  public:
   FittingTasks(const StepDemand& demand, const TargetGroups& groups, const TargetIndex& targets, const Placer& placer,
-               const Rooms& capacities)
+               const TargetCapacities& capacities)
       : m_demand(demand), m_placer(placer), m_anywhere(groups.racks.size()) {
     m_rackOf.assign(targets.size(), NoGroup);
     m_isAnywhere.assign(targets.size(), false);
@@ -38,7 +38,7 @@
   }
 
   /** Adds freed capacity to a target. \param capacity the target's free capacity, which is updated */
-  void release(std::size_t target, Room& capacity, const Room& freed) {
+  void release(std::size_t target, ResourceAmounts& capacity, const ResourceAmounts& freed) {
     count(target, capacity, false);
     capacity.add(freed);
     count(target, capacity, true);
@@ -61,11 +61,11 @@
   };
 
   std::size_t bound(const Count& count) const {
-    const std::size_t usable = m_fullyFree - std::min<std::size_t>(m_fullyFree, m_placer.keepWhole());
+    const std::size_t usable = m_fullyFree - std::min<std::size_t>(m_fullyFree, m_placer.keepFullyFree());
     return count.onUsed + std::min(count.onFullyFree, usable * m_mostOnFullyFree);
   }
 
-  void count(std::size_t target, const Room& capacity, bool add) {
+  void count(std::size_t target, const ResourceAmounts& capacity, bool add) {
     const bool fullyFree = m_headroom && m_placer.isFullyFree(target, capacity);
     if (fullyFree) m_fullyFree = add ? m_fullyFree + 1 : m_fullyFree - 1;
     if (!contains(target)) return;
@@ -103,9 +103,9 @@
 }
 
 std::optional<EndForecast::Wait> EndForecast::waitFor(const StepDemand& demand, const TargetGroups& groups,
-                                                      const Rooms& free, double limitMs) {
+                                                      const TargetCapacities& free, double limitMs) {
   orderByEnd();
-  Rooms capacities = free;
+  TargetCapacities capacities = free;
   internal::FittingTasks fitting(demand, groups, m_targets, m_placer, capacities);
   for (const std::size_t r : m_byEnd) {
     const PlannedRun& run = m_runs[r];
--- a/Courseloom/src/Scheduling/EndForecast.h
+++ b/Courseloom/src/Scheduling/EndForecast.h
@@ -31,7 +31,8 @@
 
   /** \returns the expected wait until all tasks of a step can be placed, or nothing if it exceeds a limit.
    * \param free free capacity now, by target \param limitMs longest acceptable wait, ms */
-  std::optional<Wait> waitFor(const StepDemand& demand, const TargetGroups& groups, const Rooms& free, double limitMs);
+  std::optional<Wait> waitFor(const StepDemand& demand, const TargetGroups& groups, const TargetCapacities& free,
+                              double limitMs);
 
  private:
   void orderByEnd();
--- a/Courseloom/src/Scheduling/Objective.cpp
+++ b/Courseloom/src/Scheduling/Objective.cpp
@@ -27,16 +27,16 @@
 }  // namespace
 }  // namespace internal
 
-unsigned wavesOf(const schema::StepSpec& step, const Room& capacity) {
+unsigned wavesOf(const schema::StepSpec& step, const ResourceAmounts& capacity) {
   if (step.gang()) return 1;
-  const Room need = roomOf(step);
+  const ResourceAmounts need = resourceAmountsOf(step);
   const double waves = std::max({internal::waves_in(step.count(), need.cpuMilli, capacity.cpuMilli),
                                  internal::waves_in(step.count(), need.memoryMb, capacity.memoryMb),
                                  internal::waves_in(step.count(), need.accelerators, capacity.accelerators)});
   return static_cast<unsigned>(waves);
 }
 
-double longestChainMs(const schema::WorkflowSpec& spec, const TaskTime& taskMs, const Room& capacity) {
+double criticalPathMs(const schema::WorkflowSpec& spec, const TaskTime& taskMs, const ResourceAmounts& capacity) {
   std::vector<double> ends;
   double longest = 0.0;
   for (const schema::StepSpec& step : spec.steps()) {
--- a/Courseloom/src/Scheduling/Objective.h
+++ b/Courseloom/src/Scheduling/Objective.h
@@ -15,13 +15,13 @@
 /** \returns the number of waves in which a step's tasks run on its share of a service's capacity; 1 for a gang.
  *
  * \param capacity total capacity of the service's targets; an amount of 0 is not known yet and does not limit */
-unsigned wavesOf(const schema::StepSpec& step, const Room& capacity);
+unsigned wavesOf(const schema::StepSpec& step, const ResourceAmounts& capacity);
 
 /** \returns the length of a workflow's critical path, ms: the longest chain of steps, where each step takes the run
  * time of a task times its number of waves.
  *
  * The objective promised to a caller is this time multiplied by the factor of the workflow's queue.
  * \param capacity as for wavesOf() */
-double longestChainMs(const schema::WorkflowSpec& spec, const TaskTime& taskMs, const Room& capacity);
+double criticalPathMs(const schema::WorkflowSpec& spec, const TaskTime& taskMs, const ResourceAmounts& capacity);
 
 }  // namespace courseloom
--- a/Courseloom/src/Scheduling/ShapeMemory.h
+++ b/Courseloom/src/Scheduling/PlacementCache.h
@@ -11,20 +11,20 @@
 
 namespace courseloom {
 
-/** \class ShapeMemory
+/** \class PlacementCache
  * \brief Cache of the placement queries that failed during one pass, by the shape of the step.
  *
  * During a pass, the capacity that is free now only shrinks and reservations only grow, so a query for a placement, or
- * for a wait, that failed once fails again. Capacity freed by stops may grow; queries to RoomMaker are then
+ * for a wait, that failed once fails again. Capacity freed by stops may grow; queries to VictimSelector are then
  * repeated.
  */
-class ShapeMemory {
+class PlacementCache {
  public:
   /** Properties of a step on which the results of its queries depend. Steps of equal shape share an entry. */
   struct Shape {
     const void* eligible = nullptr;     ///< address of the list of its targets
     const void* lateChances = nullptr;  ///< address of the list of its chances
-    Room need;
+    ResourceAmounts need;
     bool gang = false;
     bool urgent = false;
     bool headroom = false;   ///< whether the headroom for priority 0 applies to it
--- a/Courseloom/src/Scheduling/Placer.cpp
+++ b/Courseloom/src/Scheduling/Placer.cpp
@@ -39,7 +39,7 @@
   return chances == nullptr ? 0.0 : (*chances)[target];
 }
 
-double accelerators_of(const Room& capacity) {
+double accelerators_of(const ResourceAmounts& capacity) {
   return static_cast<double>(std::max<std::int64_t>(0, capacity.accelerators));
 }
 
@@ -47,16 +47,16 @@
 }  // namespace internal
 
 Placer::Placer(const TargetIndex& targets, const RunPlannerOptions& options, std::vector<unsigned> nominations,
-               unsigned keepWhole, const std::vector<double>* urgentLateChances)
+               unsigned keepFullyFree, const std::vector<double>* urgentLateChances)
     : m_targets(targets),
       m_options(options),
       m_nominations(std::move(nominations)),
-      m_keepWhole(keepWhole),
+      m_keepFullyFree(keepFullyFree),
       m_urgentLateChances(urgentLateChances) {}
 
-void Placer::occupy(Room& capacity, std::size_t target, const Room& need) const {
+void Placer::occupy(ResourceAmounts& capacity, std::size_t target, const ResourceAmounts& need) const {
   if (m_targets[target].single) {
-    capacity = Room();
+    capacity = ResourceAmounts();
   } else {
     capacity.subtract(need);
   }
@@ -78,13 +78,14 @@
   const double late = m_options.lateCost * lateChance(demand, target);
   const double slowness = m_targets[target].pace.slowness;
   if (demand.isUrgent()) return late + m_options.slowTargetCost * slowness;
-  if (!m_options.slowByNeed) return late - m_options.slowFirst * slowness;
-  return late - m_options.slowFirst * internal::chance_on(m_urgentLateChances, target);
+  if (!m_options.slowByUrgentLateness) return late - m_options.slowTargetDiscount * slowness;
+  return late - m_options.slowTargetDiscount * internal::chance_on(m_urgentLateChances, target);
 }
 
 /** \returns the free capacity of a target less the reservations that the step would delay. */
-Room Placer::unreservedOn(const StepDemand& demand, std::size_t target, const Room& capacity) const {
-  Room unreserved = capacity;
+ResourceAmounts Placer::unreservedOn(const StepDemand& demand, std::size_t target,
+                                     const ResourceAmounts& capacity) const {
+  ResourceAmounts unreserved = capacity;
   for (const Reservation& reservation : m_reservations) {
     if (m_options.backfillMargin * demand.estimateMs > reservation.untilMs)
       unreserved.subtract(reservation.capacities[target]);
@@ -92,7 +93,7 @@
   return unreserved;
 }
 
-std::size_t Placer::fittingTasks(const StepDemand& demand, std::size_t target, const Room& capacity) const {
+std::size_t Placer::fittingTasks(const StepDemand& demand, std::size_t target, const ResourceAmounts& capacity) const {
   if (!m_targets[target].open || !capacity.holds(demand.need)) return 0;
   if (demand.waitsForData && demand.isAwayFromData(m_targets.rackOf(target))) return 0;
   const std::size_t most = std::min(demand.tasks, demand.remainingOn(target));
@@ -101,15 +102,15 @@
 }
 
 /** \returns the cost of a trial start on a target with other runs, which a crash would end; 0 for other starts. */
-double Placer::crashCost(const StepDemand& demand, std::size_t target, const Room& capacity) const {
-  const Room& total = m_targets[target].capacity;
+double Placer::crashCost(const StepDemand& demand, std::size_t target, const ResourceAmounts& capacity) const {
+  const ResourceAmounts& total = m_targets[target].capacity;
   const bool used = capacity.accelerators < total.accelerators || capacity.cpuMilli < total.cpuMilli;
   if (!demand.trial || !used) return 0.0;
   return internal::CrashCost +
          internal::CrashCostPerAccelerator * static_cast<double>(total.accelerators - capacity.accelerators);
 }
 
-double Placer::costOf(const StepDemand& demand, std::size_t target, const Room& capacity) const {
+double Placer::costOf(const StepDemand& demand, std::size_t target, const ResourceAmounts& capacity) const {
   const std::size_t position = demand.isUrgent() ? m_targets.size() - target : target;
   return static_cast<double>(capacity.accelerators - demand.need.accelerators) +
          internal::CpuWeight * static_cast<double>(capacity.cpuMilli - demand.need.cpuMilli) / internal::MilliPerCore +
@@ -119,22 +120,22 @@
 }
 
 bool Placer::respectsHeadroom(const StepDemand& demand) const {
-  return m_keepWhole > 0 && !demand.isUrgent() && !demand.trial && demand.waitedMs < m_options.headroomWaitMs;
+  return m_keepFullyFree > 0 && !demand.isUrgent() && !demand.trial && demand.waitedMs < m_options.headroomWaitMs;
 }
 
-bool Placer::isFullyFree(std::size_t target, const Room& capacity) const {
+bool Placer::isFullyFree(std::size_t target, const ResourceAmounts& capacity) const {
   const std::int64_t all = m_targets[target].capacity.accelerators;
   return m_targets[target].open && all > 0 && capacity.accelerators >= all;
 }
 
-std::size_t Placer::countFullyFree(const Rooms& capacities) const {
+std::size_t Placer::countFullyFree(const TargetCapacities& capacities) const {
   std::size_t fullyFree = 0;
   for (std::size_t i = 0; i < capacities.size(); ++i) fullyFree += isFullyFree(i, capacities[i]) ? 1 : 0;
   return fullyFree;
 }
 
 StepPlacement Placer::place(const StepDemand& demand, const std::vector<std::size_t>& among,
-                            const Rooms& capacities) const {
+                            const TargetCapacities& capacities) const {
   std::vector<internal::Candidate> candidates;
   for (const std::size_t i : among) {
     const std::size_t tasks = fittingTasks(demand, i, capacities[i]);
@@ -149,7 +150,7 @@
     const auto [cost, target, tasks] = candidates.back();
     candidates.pop_back();
     const bool usesFullyFree = headroom && isFullyFree(target, capacities[target]);
-    if (usesFullyFree && fullyFree <= m_keepWhole) continue;
+    if (usesFullyFree && fullyFree <= m_keepFullyFree) continue;
     const std::size_t count = std::min(tasks, demand.tasks - placement.targets.size());
     placement.targets.insert(placement.targets.end(), count, target);
     placement.cost += static_cast<double>(count) * (penaltyOf(demand, target) + speedCost(demand, target));
@@ -160,12 +161,12 @@
 
 /** \returns the number of accelerators that a placement leaves free in a rack. */
 double Placer::freeAcceleratorsAfter(const StepPlacement& placement, const StepDemand& demand, std::size_t rack,
-                                     const Rooms& capacities) const {
+                                     const TargetCapacities& capacities) const {
   double free = 0.0;
   for (const std::size_t i : m_targets.inRack(rack)) free += internal::accelerators_of(capacities[i]);
   for (std::size_t first = 0; first < placement.targets.size();) {
     const std::size_t target = placement.targets[first];
-    Room capacity = capacities[target];
+    ResourceAmounts capacity = capacities[target];
     for (; first < placement.targets.size() && placement.targets[first] == target; ++first)
       occupy(capacity, target, demand.need);
     free -= internal::accelerators_of(capacities[target]) - internal::accelerators_of(capacity);
@@ -174,7 +175,7 @@
 }
 
 std::optional<StepPlacement> Placer::placeWhole(const StepDemand& demand, const TargetGroups& groups,
-                                                const Rooms& capacities) const {
+                                                const TargetCapacities& capacities) const {
   std::optional<StepPlacement> best;
   for (const TargetGroups::Rack& rack : groups.racks) {
     StepPlacement next = place(demand, rack.targets, capacities);
--- a/Courseloom/src/Scheduling/Placer.h
+++ b/Courseloom/src/Scheduling/Placer.h
@@ -34,8 +34,8 @@
  * \brief Capacity that becomes free in the future and is kept for a waiting gang.
  */
 struct Reservation {
-  Rooms capacities;      ///< reserved capacity by target
-  double untilMs = 0.0;  ///< time until it is free, ms; work that ends before may use it
+  TargetCapacities capacities;  ///< reserved capacity by target
+  double untilMs = 0.0;         ///< time until it is free, ms; work that ends before may use it
 };
 
 /** \class Placer
@@ -48,11 +48,11 @@
 class Placer {
  public:
   /** \param nominations by target: number of steps for which it is being freed
-   * \param keepWhole number of targets to be kept fully free for priority 0
+   * \param keepFullyFree number of targets to be kept fully free for priority 0
    * \param urgentLateChances by target: probability that urgent work would be late there; null if it is about the same
    * on all targets */
   Placer(const TargetIndex& targets, const RunPlannerOptions& options, std::vector<unsigned> nominations,
-         unsigned keepWhole, const std::vector<double>* urgentLateChances);
+         unsigned keepFullyFree, const std::vector<double>* urgentLateChances);
 
   /** Adds a reservation, which is observed until the end of the pass. */
   void reserve(Reservation reservation) { m_reservations.push_back(std::move(reservation)); }
@@ -60,41 +60,42 @@
   std::size_t reservations() const { return m_reservations.size(); }
 
   /** \returns a placement of as many tasks as fit on the given targets. \param capacities free capacity by target */
-  StepPlacement place(const StepDemand& demand, const std::vector<std::size_t>& among, const Rooms& capacities) const;
+  StepPlacement place(const StepDemand& demand, const std::vector<std::size_t>& among,
+                      const TargetCapacities& capacities) const;
   /** \returns a placement of all tasks within one group, or nothing. The cheapest rack is preferred; targets of several
    * racks are used only if no rack suffices. */
   std::optional<StepPlacement> placeWhole(const StepDemand& demand, const TargetGroups& groups,
-                                          const Rooms& capacities) const;
+                                          const TargetCapacities& capacities) const;
 
   /** \returns how many tasks of a step a target can receive, headroom aside. \param capacity its free capacity */
-  std::size_t fittingTasks(const StepDemand& demand, std::size_t target, const Room& capacity) const;
+  std::size_t fittingTasks(const StepDemand& demand, std::size_t target, const ResourceAmounts& capacity) const;
   /** \returns whether the headroom for priority 0 applies to the step. */
   bool respectsHeadroom(const StepDemand& demand) const;
   /** \returns whether an open target with accelerators has all of them free. \param capacity its free capacity */
-  bool isFullyFree(std::size_t target, const Room& capacity) const;
+  bool isFullyFree(std::size_t target, const ResourceAmounts& capacity) const;
   /** \returns the number of targets that are kept fully free for priority 0. */
-  unsigned keepWhole() const { return m_keepWhole; }
+  unsigned keepFullyFree() const { return m_keepFullyFree; }
   /** \returns the part of a target's cost for the step that does not depend on its capacity or speed: the penalty of
    * failures, and of being freed for another step. */
   double penaltyOf(const StepDemand& demand, std::size_t target) const;
   /** \returns by how much the probability that the step ends late is higher on a target than on a usual one, 0 to 1. */
   double lateChance(const StepDemand& demand, std::size_t target) const;
   /** Subtracts a demand from a target's free capacity; all of the capacity if the target is limited to one run. */
-  void occupy(Room& capacity, std::size_t target, const Room& need) const;
+  void occupy(ResourceAmounts& capacity, std::size_t target, const ResourceAmounts& need) const;
 
  private:
-  Room unreservedOn(const StepDemand& demand, std::size_t target, const Room& capacity) const;
+  ResourceAmounts unreservedOn(const StepDemand& demand, std::size_t target, const ResourceAmounts& capacity) const;
   double speedCost(const StepDemand& demand, std::size_t target) const;
-  double crashCost(const StepDemand& demand, std::size_t target, const Room& capacity) const;
-  double costOf(const StepDemand& demand, std::size_t target, const Room& capacity) const;
+  double crashCost(const StepDemand& demand, std::size_t target, const ResourceAmounts& capacity) const;
+  double costOf(const StepDemand& demand, std::size_t target, const ResourceAmounts& capacity) const;
   double freeAcceleratorsAfter(const StepPlacement& placement, const StepDemand& demand, std::size_t rack,
-                               const Rooms& capacities) const;
-  std::size_t countFullyFree(const Rooms& capacities) const;
+                               const TargetCapacities& capacities) const;
+  std::size_t countFullyFree(const TargetCapacities& capacities) const;
 
   const TargetIndex& m_targets;
   const RunPlannerOptions& m_options;
   std::vector<unsigned> m_nominations;
-  unsigned m_keepWhole;
+  unsigned m_keepFullyFree;
   const std::vector<double>* m_urgentLateChances;
   std::vector<Reservation> m_reservations;
 };
--- a/Courseloom/src/Scheduling/Room.cpp
+++ b/Courseloom/src/Scheduling/ResourceAmounts.cpp
@@ -1,7 +1,7 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-#include "Courseloom/src/Scheduling/Room.h"
+#include "Courseloom/src/Scheduling/ResourceAmounts.h"
 
 #include <algorithm>
 
@@ -18,25 +18,25 @@
 }  // namespace
 }  // namespace internal
 
-void Room::add(const Room& other) {
+void ResourceAmounts::add(const ResourceAmounts& other) {
   cpuMilli += other.cpuMilli;
   memoryMb += other.memoryMb;
   accelerators += other.accelerators;
 }
 
-void Room::subtract(const Room& other) {
+void ResourceAmounts::subtract(const ResourceAmounts& other) {
   cpuMilli -= other.cpuMilli;
   memoryMb -= other.memoryMb;
   accelerators -= other.accelerators;
 }
 
-bool Room::holds(const Room& need) const {
+bool ResourceAmounts::holds(const ResourceAmounts& need) const {
   const bool cpu = need.cpuMilli == 0 || cpuMilli >= need.cpuMilli;
   const bool memory = need.memoryMb == 0 || memoryMb >= need.memoryMb;
   return cpu && memory && (need.accelerators == 0 || accelerators >= need.accelerators);
 }
 
-std::size_t Room::fits(const Room& need, std::size_t most) const {
+std::size_t ResourceAmounts::fits(const ResourceAmounts& need, std::size_t most) const {
   // Under load most targets are full, and a comparison costs less than the divisions below.
   if (!holds(need)) return 0;
   std::size_t count = most;
@@ -46,19 +46,19 @@
   return count;
 }
 
-Room roomOf(const schema::Resources& resources) {
+ResourceAmounts resourceAmountsOf(const schema::Resources& resources) {
   return {static_cast<std::int64_t>(resources.cpu_milli()), static_cast<std::int64_t>(resources.memory_mb()),
           static_cast<std::int64_t>(resources.accelerators())};
 }
 
-Room roomOf(const schema::StepSpec& step) {
-  Room need = roomOf(step.need());
+ResourceAmounts resourceAmountsOf(const schema::StepSpec& step) {
+  ResourceAmounts need = resourceAmountsOf(step.need());
   if (step.filler()) need.cpuMilli = 0;
   return need;
 }
 
-Room roomOf(const schema::RunOrder& order) {
-  Room need = roomOf(order.need());
+ResourceAmounts resourceAmountsOf(const schema::RunOrder& order) {
+  ResourceAmounts need = resourceAmountsOf(order.need());
   if (order.filler()) need.cpuMilli = 0;
   return need;
 }
--- a/Courseloom/src/Scheduling/RunLedger.cpp
+++ b/Courseloom/src/Scheduling/RunLedger.cpp
@@ -40,7 +40,7 @@
 bool same_description(const schema::TargetReport& a, const schema::TargetReport& b) {
   const auto sameLabels = std::equal(a.labels().begin(), a.labels().end(), b.labels().begin(), b.labels().end());
   return sameLabels && a.id() == b.id() && a.service() == b.service() && a.rack() == b.rack() &&
-         a.data_hall() == b.data_hall() && roomOf(a.capacity()) == roomOf(b.capacity());
+         a.data_hall() == b.data_hall() && resourceAmountsOf(a.capacity()) == resourceAmountsOf(b.capacity());
 }
 
 bool is_over(const WorkflowTable& table, const RunKey& key) {
@@ -304,7 +304,7 @@
   const auto found = m_targets.find(agent);
   if (found == m_targets.end()) return {};
   const schema::TargetReport& report = found->second.report;
-  return {report.id(), open(found->second, now), roomOf(report.capacity())};
+  return {report.id(), open(found->second, now), resourceAmountsOf(report.capacity())};
 }
 
 bool RunLedger::awaited(const std::string& agent, Time now) const {
--- a/Courseloom/src/Scheduling/RunLedger.h
+++ b/Courseloom/src/Scheduling/RunLedger.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "Courseloom/src/Core/Clock.h"
-#include "Courseloom/src/Scheduling/Room.h"
+#include "Courseloom/src/Scheduling/ResourceAmounts.h"
 #include "Courseloom/src/State/WorkflowTable.h"
 #include "generated/settings.pb.h"
 
@@ -100,7 +100,7 @@
 struct TargetOffer {
   std::string incarnation;  ///< name of the target's incarnation
   bool open = false;        ///< the target may be given new runs
-  Room room;                ///< total capacity, including what current runs use
+  ResourceAmounts room;     ///< total capacity, including what current runs use
   bool operator==(const TargetOffer& other) const = default;
 };
 
--- a/Courseloom/src/Scheduling/RunPlan.cpp
+++ b/Courseloom/src/Scheduling/RunPlan.cpp
@@ -53,8 +53,8 @@
   return step.workflow != nullptr && !step.workflow->ended() && !step.workflow->stepDone(step.key);
 }
 
-void dropOutdated(RunPlan& plan, const std::vector<PlannedStep>& steps,
-                  const std::function<bool(std::size_t target)>& isOpen) {
+void removeOutdated(RunPlan& plan, const std::vector<PlannedStep>& steps,
+                    const std::function<bool(std::size_t target)>& isOpen) {
   std::erase_if(plan.stops, [&](const RunPlan::Stop& stop) { return !isWaiting(steps[stop.forStep]); });
   std::erase_if(plan.starts, [&](const RunPlan::Start& start) { return !isWaiting(steps[start.step]); });
   plan.starts = internal::filter_starts(plan.starts, steps, [&](const RunPlan::Start& start) {
--- a/Courseloom/src/Scheduling/RunPlan.h
+++ b/Courseloom/src/Scheduling/RunPlan.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "Courseloom/src/Scheduling/Room.h"
+#include "Courseloom/src/Scheduling/ResourceAmounts.h"
 #include "Courseloom/src/Scheduling/RunLedger.h"
 #include "Courseloom/src/State/RunOutlook.h"
 
@@ -37,12 +37,12 @@
   std::string service;
   std::string rack;
   std::set<std::string> labels;
-  Room capacity;         ///< total capacity
-  bool open = false;     ///< whether new runs may be started on it
-  bool awaited = true;   ///< if it is not open: whether it is expected to open soon
-  bool single = false;   ///< limited to one run at a time, until a run shows that it works
-  double penalty = 0.0;  ///< added to its placement cost, so that failing targets are chosen last
-  TargetPace pace;       ///< its slowdown
+  ResourceAmounts capacity;  ///< total capacity
+  bool open = false;         ///< whether new runs may be started on it
+  bool awaited = true;       ///< if it is not open: whether it is expected to open soon
+  bool single = false;       ///< limited to one run at a time, until a run shows that it works
+  double penalty = 0.0;      ///< added to its placement cost, so that failing targets are chosen last
+  TargetPace pace;           ///< its slowdown
 };
 
 /** \class PlannedRun
@@ -51,10 +51,10 @@
 struct PlannedRun {
   RunKey key;
   std::size_t target = 0;  ///< index among the planned targets
-  Room need;
+  ResourceAmounts need;
   Rank rank = UrgentRank;
   bool stopping = false;     ///< whether a stop has been ordered
-  bool movable = true;       ///< whether it may be preempted
+  bool preemptible = true;   ///< whether it may be preempted
   std::string gang;          ///< identifies the gang's run; empty for a task outside a gang
   double lostWork = 0.0;     ///< core-seconds of work since its last checkpoint
   double remainingMs = 0.0;  ///< expected time until it ends, ms
@@ -124,8 +124,8 @@
  * waits. If one start of a gang is removed, all of its starts are.
  * \param steps the planned steps, with the current states of their workflows; null for one that no longer exists
  * \param isOpen whether the target with an index is open */
-void dropOutdated(RunPlan& plan, const std::vector<PlannedStep>& steps,
-                  const std::function<bool(std::size_t target)>& isOpen);
+void removeOutdated(RunPlan& plan, const std::vector<PlannedStep>& steps,
+                    const std::function<bool(std::size_t target)>& isOpen);
 
 /** \class RunPlannerOptions
  * \brief Parameters of the planner. WorkflowRunner sets some of them from the policy and control settings; tests and
@@ -150,10 +150,10 @@
   bool patience = true;
   double endsSoonMs = 500.0;  ///< a run expected to end within this time, ms, is about to end: others wait for it
   /** Time, ms, for which a run may be expected to end soon; after that its end is not relied on any more. */
-  double endsSoonTrustMs = 1000.0;
+  double endsSoonLimitMs = 1000.0;
   /** Wait, ms, after which guaranteed work relies on no expected end any more and stops the runs in its way: the wait
    * that is promised at most, less the time that a stop takes. */
-  double guaranteedTrustMs = 2300.0;
+  double guaranteedStopAfterMs = 2300.0;
   /** Share of its slack (time to its objective less its estimated run time) that guaranteed work may wait for ends. */
   double patienceShare = 0.5;
   double urgentPatienceShare = 0.8;  ///< the same for urgent work outside guarantees, which has no promised start
@@ -163,7 +163,7 @@
   /** The same for a waiting gang of any other priority, which may stop runs of lower rank; 0: it stops none. */
   double gangLossRatio = 0.0;
   double gangStopsAfterMs = 1000.0;  ///< wait after which such a gang may stop others, ms
-  unsigned gangStopsAtOnce = 4;      ///< largest number of such gangs per plan
+  unsigned maxGangStopsPerPlan = 4;  ///< largest number of such gangs per plan
   bool nominations = true;           ///< a target that is being freed for a step is a last choice for other steps
   bool yields = true;                ///< work outside guarantees that would be late stops no runs
   /** Urgent work is placed on targets where it ends in time, other work preferably on slow targets. */
@@ -171,14 +171,14 @@
   /** Cost of a target on which work is sure to end late although it would end in time on a usual target, in units of
    * one accelerator left free on the target. */
   double lateCost = 30.0;
-  double slowTargetCost = 2.0;  ///< cost of a target for urgent work per unit of the target's slowdown
-  double slowFirst = 10.0;      ///< subtracted for other work per unit of slowdown or, with slowByNeed, of the
-                                ///< chance that urgent work is late: fast targets stay free for urgent work
+  double slowTargetCost = 2.0;       ///< cost of a target for urgent work per unit of the target's slowdown
+  double slowTargetDiscount = 10.0;  ///< subtracted for other work per unit of slowdown or, with slowByUrgentLateness,
+                                     ///< of the chance that urgent work is late: fast targets stay free for urgent work
   /** Wait, ms, after which guaranteed work may be placed on any target with free capacity, fast or slow: its promise
    * concerns only the time of its start. */
   double guaranteedAnyTargetAfterMs = 500.0;
   /** Other work prefers targets on which urgent work would be late, rather than targets of a high slowdown. */
-  bool slowByNeed = true;
+  bool slowByUrgentLateness = true;
   /** Time from a stop order to the end of the run, ms. With `yields`, work outside guarantees that would be late after
    * this time stops no runs; 0 ignores it. */
   double stopMs = 0.0;
--- a/Courseloom/src/Scheduling/RunPlanner.cpp
+++ b/Courseloom/src/Scheduling/RunPlanner.cpp
@@ -15,26 +15,26 @@
     : runs(givenRuns), steps(givenSteps), targets(givenTargets) {}
 
 RunPlan RunPlanner::plan(const std::vector<PlannedTarget>& targets, const std::vector<PlannedRun>& runs,
-                         const std::vector<PlannedStep>& steps, unsigned keepWhole, double nowMs) {
-  begin(targets, runs, steps, keepWhole, nowMs);
+                         const std::vector<PlannedStep>& steps, unsigned keepFullyFree, double nowMs) {
+  begin(targets, runs, steps, keepFullyFree, nowMs);
   advance([] { return false; });
   return finish();
 }
 
 void RunPlanner::begin(const std::vector<PlannedTarget>& targets, const std::vector<PlannedRun>& runs,
-                       const std::vector<PlannedStep>& steps, unsigned keepWhole, double nowMs) {
+                       const std::vector<PlannedStep>& steps, unsigned keepFullyFree, double nowMs) {
   m_pass = std::make_unique<Pass>(targets, runs, steps);
   m_pass->nowMs = nowMs;
   readSteps();
   updateUrgentLimit();
   orderSteps();
-  const unsigned headroomTargets = m_options.headroom ? keepWhole : 0;
+  const unsigned headroomTargets = m_options.headroom ? keepFullyFree : 0;
   m_pass->placer = std::make_unique<Placer>(m_pass->targets, m_options, loadNominations(), headroomTargets,
                                             m_pass->targets.lateChances(m_urgentLimit));
   findRunsEndingSoon();
   computeFreeCapacities();
   m_pass->forecast = std::make_unique<EndForecast>(runs, m_pass->targets, *m_pass->placer);
-  m_pass->victimSelector = std::make_unique<RoomMaker>(runs, m_pass->targets, *m_pass->placer, m_pass->endsSoon);
+  m_pass->victimSelector = std::make_unique<VictimSelector>(runs, m_pass->targets, *m_pass->placer, m_pass->endsSoon);
 }
 
 bool RunPlanner::advance(const std::function<bool()>& timeIsUp) {
@@ -127,17 +127,17 @@
 }
 
 /** Determines the runs that are about to end. Estimates may be wrong, so a run that has been about to end for longer
- * than endsSoonTrustMs is not relied on any more. */
+ * than endsSoonLimitMs is not relied on any more. */
 void RunPlanner::findRunsEndingSoon() {
   std::map<RunKey, double> since;
   m_pass->endsSoon.assign(m_pass->runs.size(), false);
   for (std::size_t r = 0; r < m_pass->runs.size(); ++r) {
     const PlannedRun& run = m_pass->runs[r];
-    if (!run.movable || run.remainingMs > m_options.endsSoonMs) continue;
+    if (!run.preemptible || run.remainingMs > m_options.endsSoonMs) continue;
     const auto previous = m_soonSince.find(run.key);
     const double from = previous == m_soonSince.end() ? m_pass->nowMs : previous->second;
     since.emplace(run.key, from);
-    m_pass->endsSoon[r] = m_pass->nowMs - from <= m_options.endsSoonTrustMs;
+    m_pass->endsSoon[r] = m_pass->nowMs - from <= m_options.endsSoonLimitMs;
   }
   m_soonSince = std::move(since);
 }
@@ -187,8 +187,8 @@
 namespace internal {
 namespace {
 
-ShapeMemory::Shape shape_of(const StepDemand& demand, const Placer& placer, bool maySpread) {
-  ShapeMemory::Shape shape;
+PlacementCache::Shape shape_of(const StepDemand& demand, const Placer& placer, bool maySpread) {
+  PlacementCache::Shape shape;
   shape.eligible = demand.eligible.get();
   shape.lateChances = demand.lateChances;
   shape.need = demand.need;
@@ -205,7 +205,7 @@
 }  // namespace
 }  // namespace internal
 
-ShapeMemory::Entry* RunPlanner::cacheEntryFor(const StepDemand& demand) {
+PlacementCache::Entry* RunPlanner::cacheEntryFor(const StepDemand& demand) {
   if (!demand.shared) return nullptr;
   return &m_pass->cache[internal::shape_of(demand, *m_pass->placer, maySpread(demand))];
 }
@@ -224,8 +224,8 @@
 
 /** \returns a placement on free capacity, for a gang of all tasks, otherwise of as many as fit; or nothing. */
 std::optional<StepPlacement> RunPlanner::placeNow(const StepDemand& demand) {
-  ShapeMemory::Entry* cached = cacheEntryFor(demand);
-  const ShapeMemory::FailedQuery query{demand.gang ? demand.tasks : 1, reservationDelayMs(demand), 0.0, 0};
+  PlacementCache::Entry* cached = cacheEntryFor(demand);
+  const PlacementCache::FailedQuery query{demand.gang ? demand.tasks : 1, reservationDelayMs(demand), 0.0, 0};
   if (cached != nullptr && cached->place && cached->place->covers(query)) return std::nullopt;
   std::optional<StepPlacement> placement;
   if (demand.gang) {
@@ -234,13 +234,13 @@
     placement = m_pass->placer->place(demand, *demand.eligible, m_pass->free);
   }
   const bool failed = !placement || placement->targets.size() < demand.tasks;
-  if (cached != nullptr && failed) ShapeMemory::recordFailure(cached->place, query);
+  if (cached != nullptr && failed) PlacementCache::recordFailure(cached->place, query);
   if (placement && placement->targets.empty()) return std::nullopt;
   return placement;
 }
 
 const TargetGroups& RunPlanner::groupsFor(const StepDemand& demand) {
-  ShapeMemory::Entry* cached = cacheEntryFor(demand);
+  PlacementCache::Entry* cached = cacheEntryFor(demand);
   if (cached == nullptr) return m_unsharedGroups = makeGroups(demand);
   if (!cached->groups) cached->groups = makeGroups(demand);
   return *cached->groups;
@@ -265,16 +265,16 @@
 }
 
 /** Subtracts capacity of a target from all views of free capacity for the rest of the pass. */
-void RunPlanner::occupy(std::size_t target, const Room& need) {
-  for (Rooms* capacities : {&m_pass->free, &m_pass->freeAfterEnds, &m_pass->freeAfterStops}) {
+void RunPlanner::occupy(std::size_t target, const ResourceAmounts& need) {
+  for (TargetCapacities* capacities : {&m_pass->free, &m_pass->freeAfterEnds, &m_pass->freeAfterStops}) {
     m_pass->placer->occupy((*capacities)[target], target, need);
   }
 }
 
 /** Leaves no free capacity of a target for the rest of the pass. */
 void RunPlanner::close(std::size_t target) {
-  for (Rooms* capacities : {&m_pass->free, &m_pass->freeAfterEnds, &m_pass->freeAfterStops})
-    (*capacities)[target] = Room();
+  for (TargetCapacities* capacities : {&m_pass->free, &m_pass->freeAfterEnds, &m_pass->freeAfterStops})
+    (*capacities)[target] = ResourceAmounts();
 }
 
 void RunPlanner::addStarts(StepDemand& demand, const StepPlacement& placement) {
--- a/Courseloom/src/Scheduling/RunPlanner.h
+++ b/Courseloom/src/Scheduling/RunPlanner.h
@@ -12,10 +12,10 @@
 #include <vector>
 
 #include "Courseloom/src/Scheduling/EndForecast.h"
+#include "Courseloom/src/Scheduling/PlacementCache.h"
 #include "Courseloom/src/Scheduling/Placer.h"
-#include "Courseloom/src/Scheduling/RoomMaker.h"
 #include "Courseloom/src/Scheduling/RunPlan.h"
-#include "Courseloom/src/Scheduling/ShapeMemory.h"
+#include "Courseloom/src/Scheduling/VictimSelector.h"
 
 namespace courseloom {
 
@@ -24,22 +24,22 @@
  *
  * The class uses no clock and does no input or output. Steps are served in the order of rank, then prospect, then
  * objective. A gang is placed as a whole or not at all. Placer chooses the targets of tasks, EndForecast predicts when
- * enough capacity becomes free without stopping a run, and RoomMaker chooses the runs to stop.
+ * enough capacity becomes free without stopping a run, and VictimSelector chooses the runs to stop.
  */
 class RunPlanner {
  public:
   /** \param options parameters of all passes */
   explicit RunPlanner(RunPlannerOptions options = {}) : m_options(options) {}
 
-  /** Makes a whole pass. \param keepWhole number of targets to be kept fully free for priority 0
+  /** Makes a whole pass. \param keepFullyFree number of targets to be kept fully free for priority 0
    * \param nowMs wall clock, ms since 1970 */
   RunPlan plan(const std::vector<PlannedTarget>& targets, const std::vector<PlannedRun>& runs,
-               const std::vector<PlannedStep>& steps, unsigned keepWhole = 0, double nowMs = 0.0);
+               const std::vector<PlannedStep>& steps, unsigned keepFullyFree = 0, double nowMs = 0.0);
 
   /** Begins a pass that is made in parts. The vectors have to stay valid until finish(). The workflows of the steps are
-   * read only here, so they may change during the pass. \param keepWhole, nowMs as for plan() */
+   * read only here, so they may change during the pass. \param keepFullyFree, nowMs as for plan() */
   void begin(const std::vector<PlannedTarget>& targets, const std::vector<PlannedRun>& runs,
-             const std::vector<PlannedStep>& steps, unsigned keepWhole, double nowMs);
+             const std::vector<PlannedStep>& steps, unsigned keepFullyFree, double nowMs);
   /** Serves steps in their order until all are served or the time limit is reached; called between begin() and
    * finish(). \param timeIsUp called after each step; true ends this call \returns whether all steps are served */
   bool advance(const std::function<bool()>& timeIsUp);
@@ -67,16 +67,16 @@
     std::vector<StepName> names;      ///< by step
     std::vector<std::size_t> order;   ///< step indexes in the order of serving
     std::size_t next = 0;             ///< position in the order of the next step to be served
-    std::vector<bool> endsSoon;       ///< by run: expected to end soon, for no longer than endsSoonTrustMs
-    Rooms free;                       ///< by target: free capacity now
-    Rooms freeAfterEnds;              ///< the same after the runs that are being stopped or end soon have ended
-    Rooms freeAfterStops;             ///< the same after the runs that are being stopped have ended
+    std::vector<bool> endsSoon;       ///< by run: expected to end soon, for no longer than endsSoonLimitMs
+    TargetCapacities free;            ///< by target: free capacity now
+    TargetCapacities freeAfterEnds;   ///< the same after the runs that are being stopped or end soon have ended
+    TargetCapacities freeAfterStops;  ///< the same after the runs that are being stopped have ended
     unsigned gangStops = 0;           ///< number of gangs outside priority 0 for which runs were to be stopped
     double nowMs = 0.0;
     std::unique_ptr<Placer> placer;
     std::unique_ptr<EndForecast> forecast;
-    std::unique_ptr<RoomMaker> victimSelector;
-    ShapeMemory cache;
+    std::unique_ptr<VictimSelector> victimSelector;
+    PlacementCache cache;
     TargetIds nominatedTargets;  ///< ids of the targets that are being freed for a step
     TargetIds reservedTargets;   ///< ids of the targets that are reserved for a gang
     RunPlan plan;
@@ -89,7 +89,7 @@
   std::vector<unsigned> loadNominations();
   void findRunsEndingSoon();
   void computeFreeCapacities();
-  ShapeMemory::Entry* cacheEntryFor(const StepDemand& demand);
+  PlacementCache::Entry* cacheEntryFor(const StepDemand& demand);
   bool maySpread(const StepDemand& demand) const;
   void serve(StepDemand& demand);
   void serveTasks(StepDemand& demand);
@@ -98,7 +98,7 @@
   const TargetGroups& groupsFor(const StepDemand& demand);
   TargetGroups makeGroups(const StepDemand& demand) const;
   double reservationDelayMs(const StepDemand& demand) const;
-  void occupy(std::size_t target, const Room& need);
+  void occupy(std::size_t target, const ResourceAmounts& need);
   void close(std::size_t target);
   void addStarts(StepDemand& demand, const StepPlacement& placement);
   void nominateTargets(const StepDemand& demand, const StepPlacement& placement);
--- a/Courseloom/src/Scheduling/RunPlannerWaiting.cpp
+++ b/Courseloom/src/Scheduling/RunPlannerWaiting.cpp
@@ -28,8 +28,8 @@
   const double budgetMs = guaranteed
                               ? std::min(m_options.patienceShare * slackMs, m_options.patienceLimitMs - demand.waitedMs)
                               : m_options.urgentPatienceShare * slackMs;
-  ShapeMemory::Entry* cached = cacheEntryFor(demand);
-  const ShapeMemory::FailedQuery query{demand.tasks, reservationDelayMs(demand), budgetMs, 0};
+  PlacementCache::Entry* cached = cacheEntryFor(demand);
+  const PlacementCache::FailedQuery query{demand.tasks, reservationDelayMs(demand), budgetMs, 0};
   if (cached != nullptr && cached->wait && cached->wait->covers(query)) return false;
   const std::optional<EndForecast::Wait> wait =
       m_pass->forecast->waitFor(demand, groupsFor(demand), m_pass->free, budgetMs);
@@ -37,7 +37,7 @@
     nominateTargets(demand, wait->placement);
     return true;
   }
-  if (cached != nullptr) ShapeMemory::recordFailure(cached->wait, query);
+  if (cached != nullptr) PlacementCache::recordFailure(cached->wait, query);
   return false;
 }
 
@@ -47,7 +47,7 @@
 bool RunPlanner::preemptForGang(const StepDemand& demand) {
   const bool mayStop = m_options.preemption && m_options.gangLossRatio > 0.0 && !demand.isUrgent();
   if (!mayStop || demand.waitedMs < m_options.gangStopsAfterMs) return false;
-  if (m_pass->gangStops >= m_options.gangStopsAtOnce) return false;
+  if (m_pass->gangStops >= m_options.maxGangStopsPerPlan) return false;
   ++m_pass->gangStops;
   return preempt(demand);
 }
@@ -63,7 +63,7 @@
 
 /** \returns whether a step may rely on runs that are about to end; guaranteed work near its bound may not. */
 bool RunPlanner::reliesOnEnds(const StepDemand& demand) const {
-  return demand.rank != GuaranteedRank || demand.waitedMs < m_options.guaranteedTrustMs;
+  return demand.rank != GuaranteedRank || demand.waitedMs < m_options.guaranteedStopAfterMs;
 }
 
 /** Keeps capacity that is being freed for a waiting step; if this is not enough, selects further runs to stop.
@@ -71,15 +71,15 @@
 bool RunPlanner::preempt(const StepDemand& demand) {
   const bool withEnds = reliesOnEnds(demand);
   const double maxLoss = acceptableLoss(demand);
-  ShapeMemory::Entry* cached = cacheEntryFor(demand);
-  const ShapeMemory::FailedQuery query{demand.gang ? demand.tasks : 1, demand.estimateMs, maxLoss,
-                                       m_pass->cache.freed()};
+  PlacementCache::Entry* cached = cacheEntryFor(demand);
+  const PlacementCache::FailedQuery query{demand.gang ? demand.tasks : 1, demand.estimateMs, maxLoss,
+                                          m_pass->cache.freed()};
   // Targets that are being freed for a step cost it less than other steps of its shape, so its result is not shared.
   const bool cacheable = cached != nullptr && demand.nominated.empty();
-  std::optional<ShapeMemory::FailedQuery>* failed = cacheable ? &cached->stop[{demand.rank, withEnds}] : nullptr;
+  std::optional<PlacementCache::FailedQuery>* failed = cacheable ? &cached->stop[{demand.rank, withEnds}] : nullptr;
   if (failed != nullptr && *failed && (*failed)->covers(query)) return false;
   const TargetGroups& groups = groupsFor(demand);
-  const Rooms& capacities = withEnds ? m_pass->freeAfterEnds : m_pass->freeAfterStops;
+  const TargetCapacities& capacities = withEnds ? m_pass->freeAfterEnds : m_pass->freeAfterStops;
   if (demand.gang) {
     const std::optional<StepPlacement> upcoming = m_pass->placer->placeWhole(demand, groups, capacities);
     if (upcoming) {
@@ -87,10 +87,10 @@
       return true;
     }
   }
-  const std::optional<RoomMaker::Selection> selection =
+  const std::optional<VictimSelector::Selection> selection =
       m_pass->victimSelector->select(demand, groups, withEnds, maxLoss, capacities);
   if (!selection) {
-    if (failed != nullptr) ShapeMemory::recordFailure(*failed, query);
+    if (failed != nullptr) PlacementCache::recordFailure(*failed, query);
     return false;
   }
   stop(demand, selection->victims);
@@ -131,7 +131,7 @@
   if (previous) wait = m_pass->forecast->waitFor(demand, {{}, previous}, m_pass->free, NoLimit);
   if (!wait) wait = m_pass->forecast->waitFor(demand, groupsFor(demand), m_pass->free, NoLimit);
   if (!wait) return;
-  Reservation reservation{Rooms(m_pass->targets.size()), wait->waitMs};
+  Reservation reservation{TargetCapacities(m_pass->targets.size()), wait->waitMs};
   for (const std::size_t target : wait->placement.targets) {
     m_pass->reservedTargets[m_pass->names[demand.step]].insert(m_pass->targets[target].id);
     reservation.capacities[target].add(demand.need);
--- a/Courseloom/src/Scheduling/StepDemand.cpp
+++ b/Courseloom/src/Scheduling/StepDemand.cpp
@@ -85,7 +85,7 @@
   demand.step = index;
   demand.rank = step.rank;
   demand.prospect = prospectOf(step, nowMs);
-  demand.need = roomOf(spec);
+  demand.need = resourceAmountsOf(spec);
   demand.tasks = step.tasks.size();
   demand.gang = spec.gang();
   demand.trial = step.trial;
--- a/Courseloom/src/Scheduling/StepDemand.h
+++ b/Courseloom/src/Scheduling/StepDemand.h
@@ -27,7 +27,7 @@
   std::size_t step = 0;  ///< index among the given steps
   Rank rank = UrgentRank;
   Prospect prospect = Prospect::InTime;
-  Room need;              ///< demand of one task
+  ResourceAmounts need;   ///< demand of one task
   std::size_t tasks = 0;  ///< number of tasks that wait
   bool gang = false;
   bool sameRack = false;
--- a/Courseloom/src/Scheduling/Trials.cpp
+++ b/Courseloom/src/Scheduling/Trials.cpp
@@ -28,11 +28,11 @@
   return most - std::min(most, pending);
 }
 
-bool hasToBegin(const PlannedStep& step) {
+bool mustStartSoon(const PlannedStep& step) {
   return step.rank == GuaranteedRank || step.workflow->step(step.key.step).long_running();
 }
 
-std::vector<PlannedStep> divideForTrial(PlannedStep step, std::size_t most) {
+std::vector<PlannedStep> splitForTrial(PlannedStep step, std::size_t most) {
   const WorkflowState& workflow = *step.workflow;
   // The tasks of a gang cannot be started one at a time.
   if (workflow.accusedTasks == 0 || step.isGang()) return {std::move(step)};
@@ -50,7 +50,7 @@
   if (!trial.tasks.empty()) parts.push_back(std::move(trial));
   // The limit per target would apply to each part of the step separately, and so be exceeded.
   const bool limited = workflow.step(step.key.step).max_per_target() > 0;
-  const bool othersMayStart = !limited && (hasToBegin(step) || workflow.crashedTargets() < 2);
+  const bool othersMayStart = !limited && (mustStartSoon(step) || workflow.crashedTargets() < 2);
   if (othersMayStart && !step.tasks.empty()) parts.push_back(std::move(step));
   return parts;
 }
--- a/Courseloom/src/Scheduling/Trials.h
+++ b/Courseloom/src/Scheduling/Trials.h
@@ -23,13 +23,12 @@
 
 /** \returns whether the tasks of a step have to start soon even if they are suspect: those within a guarantee, and
  * those of long-running steps. */
-bool hasToBegin(const PlannedStep& step);
+bool mustStartSoon(const PlannedStep& step);
 
 /** Divides the waiting tasks of a step into suspect tasks, which get trial starts, and others. The others wait if two
- * or more targets have crashed under the workflow, unless hasToBegin() is true for the step, and always if the step has
- * a limit per target.
- * \param most largest number of suspect tasks in the result
- * \returns the parts that have tasks; the step unchanged if it is a gang or has no suspect tasks */
-std::vector<PlannedStep> divideForTrial(PlannedStep step, std::size_t most);
+ * or more targets have crashed under the workflow, unless mustStartSoon() is true for the step, and always if the step
+ * has a limit per target. \param most largest number of suspect tasks in the result \returns the parts that have tasks;
+ * the step unchanged if it is a gang or has no suspect tasks */
+std::vector<PlannedStep> splitForTrial(PlannedStep step, std::size_t most);
 
 }  // namespace courseloom
--- a/Courseloom/src/Scheduling/RoomMaker.cpp
+++ b/Courseloom/src/Scheduling/VictimSelector.cpp
@@ -1,7 +1,7 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-#include "Courseloom/src/Scheduling/RoomMaker.h"
+#include "Courseloom/src/Scheduling/VictimSelector.h"
 
 #include <algorithm>
 #include <string_view>
@@ -18,8 +18,8 @@
 }  // namespace
 }  // namespace internal
 
-RoomMaker::RoomMaker(const std::vector<PlannedRun>& runs, const TargetIndex& targets, const Placer& placer,
-                     const std::vector<bool>& endsSoon)
+VictimSelector::VictimSelector(const std::vector<PlannedRun>& runs, const TargetIndex& targets, const Placer& placer,
+                               const std::vector<bool>& endsSoon)
     : m_runs(runs), m_targets(targets), m_placer(placer), m_endsSoon(endsSoon) {
   std::unordered_map<std::string_view, std::size_t> gangIndexes;
   m_gangOf.reserve(runs.size());
@@ -34,17 +34,17 @@
   m_selected.assign(runs.size(), false);
 }
 
-void RoomMaker::stop(const std::vector<std::size_t>& victims) {
+void VictimSelector::stop(const std::vector<std::size_t>& victims) {
   for (const std::size_t run : victims) m_selected[run] = true;
 }
 
-const RoomMaker::Stoppable& RoomMaker::stoppableFor(Rank rank, bool reliesOnEnds) {
+const VictimSelector::Stoppable& VictimSelector::stoppableFor(Rank rank, bool reliesOnEnds) {
   const auto found = m_stoppable.find({rank, reliesOnEnds});
   if (found != m_stoppable.end()) return found->second;
   return m_stoppable[{rank, reliesOnEnds}] = makeStoppable(rank, reliesOnEnds);
 }
 
-RoomMaker::Stoppable RoomMaker::makeStoppable(Rank rank, bool reliesOnEnds) const {
+VictimSelector::Stoppable VictimSelector::makeStoppable(Rank rank, bool reliesOnEnds) const {
   Stoppable stoppable;
   stoppable.byTarget.resize(m_targets.size());
   stoppable.byGang.resize(m_gangs);
@@ -53,7 +53,7 @@
   for (std::size_t r = 0; r < m_runs.size(); ++r) {
     const PlannedRun& run = m_runs[r];
     const bool aboutToEnd = m_endsSoon[r] && reliesOnEnds;
-    if (run.stopping || aboutToEnd || !run.movable || run.rank <= rank) continue;
+    if (run.stopping || aboutToEnd || !run.preemptible || run.rank <= rank) continue;
     stoppable.byTarget[run.target].push_back(r);
     stoppable.prices[r] = run.lostWork + internal::StopPrice;
     if (m_gangOf[r] == m_gangs) continue;
@@ -73,13 +73,13 @@
   return stoppable;
 }
 
-/** \class RoomMaker::Group
+/** \class VictimSelector::Group
  * \brief Targets of one group during a selection, which places one task after another.
  */
-class RoomMaker::Group {
+class VictimSelector::Group {
  public:
-  Group(const RoomMaker& selector, const StepDemand& demand, const std::vector<std::size_t>& among,
-        const Stoppable& stoppable, const Rooms& capacities)
+  Group(const VictimSelector& selector, const StepDemand& demand, const std::vector<std::size_t>& among,
+        const Stoppable& stoppable, const TargetCapacities& capacities)
       : m_selector(selector),
         m_demand(demand),
         m_among(among),
@@ -159,7 +159,7 @@
    * \param victims the runs to be stopped are added here; may be null */
   std::optional<double> findCheapestVictims(std::size_t position, std::vector<std::size_t>* victims) const {
     const std::size_t target = m_among[position];
-    Room capacity = m_capacities[position];
+    ResourceAmounts capacity = m_capacities[position];
     // The step's own work counts as lost to the extent that it ends late on the target.
     double price = m_selector.m_placer.penaltyOf(m_demand, target) +
                    m_selector.m_placer.lateChance(m_demand, target) * m_demand.taskWork;
@@ -185,21 +185,22 @@
     return price;
   }
 
-  const RoomMaker& m_selector;
+  const VictimSelector& m_selector;
   const StepDemand& m_demand;
   const std::vector<std::size_t>& m_among;  ///< indexes of targets, ascending
   const Stoppable& m_stoppable;
   std::vector<bool> m_selected;
-  Rooms m_capacities;                    ///< by index in the group
+  TargetCapacities m_capacities;         ///< by index in the group
   std::vector<std::size_t> m_remaining;  ///< tasks that a target may still receive, by index in the group
   std::vector<unsigned> m_versions;
   std::vector<Offer> m_offers;  ///< heap with the lowest price at the front
 };
 
-std::optional<RoomMaker::Selection> RoomMaker::selectWithin(const StepDemand& demand,
-                                                            const std::vector<std::size_t>& among,
-                                                            const Stoppable& stoppable, double maxLoss, double limit,
-                                                            const Rooms& capacities) {
+std::optional<VictimSelector::Selection> VictimSelector::selectWithin(const StepDemand& demand,
+                                                                      const std::vector<std::size_t>& among,
+                                                                      const Stoppable& stoppable, double maxLoss,
+                                                                      double limit,
+                                                                      const TargetCapacities& capacities) {
   Group group(*this, demand, among, stoppable, capacities);
   Selection selection;
   while (selection.placement.targets.size() < demand.tasks) {
@@ -217,8 +218,9 @@
   return selection;
 }
 
-std::optional<RoomMaker::Selection> RoomMaker::select(const StepDemand& demand, const TargetGroups& groups,
-                                                      bool reliesOnEnds, double maxLoss, const Rooms& capacities) {
+std::optional<VictimSelector::Selection> VictimSelector::select(const StepDemand& demand, const TargetGroups& groups,
+                                                                bool reliesOnEnds, double maxLoss,
+                                                                const TargetCapacities& capacities) {
   const Stoppable& stoppable = stoppableFor(demand.rank, reliesOnEnds);
   std::optional<Selection> best;
   const auto consider = [&](const std::vector<std::size_t>& group) {
--- a/Courseloom/src/Scheduling/RoomMaker.h
+++ b/Courseloom/src/Scheduling/VictimSelector.h
@@ -11,13 +11,13 @@
 
 namespace courseloom {
 
-/** \class RoomMaker
+/** \class VictimSelector
  * \brief Selects runs to be stopped so that a step finds capacity, such that the least work is lost.
  *
  * If one run of a gang is stopped, all of them are. The prices of stops are computed once per rank; the price of
  * placing one more task on a target is computed again only after the target has changed.
  */
-class RoomMaker {
+class VictimSelector {
  public:
   /** Placement of tasks of a step, and the runs to be stopped for it. */
   struct Selection {
@@ -26,8 +26,8 @@
   };
 
   /** \param endsSoon by run: whether it is about to end. All arguments have to outlive the object. */
-  RoomMaker(const std::vector<PlannedRun>& runs, const TargetIndex& targets, const Placer& placer,
-            const std::vector<bool>& endsSoon);
+  VictimSelector(const std::vector<PlannedRun>& runs, const TargetIndex& targets, const Placer& placer,
+                 const std::vector<bool>& endsSoon);
 
   /** \returns the selection of the least cost within one group of targets: for a gang all tasks, otherwise as many as
    * cost at most \p maxLoss each; nothing if no task, or not all of a gang, can be placed so.
@@ -35,7 +35,7 @@
    * \param maxLoss work of other runs, core-seconds, that may be lost for one task
    * \param capacities capacity that becomes free without this selection, by target */
   std::optional<Selection> select(const StepDemand& demand, const TargetGroups& groups, bool reliesOnEnds,
-                                  double maxLoss, const Rooms& capacities);
+                                  double maxLoss, const TargetCapacities& capacities);
   /** Marks runs as stopped, so that they are not selected again. */
   void stop(const std::vector<std::size_t>& victims);
 
@@ -53,7 +53,7 @@
   Stoppable makeStoppable(Rank rank, bool reliesOnEnds) const;
   std::optional<Selection> selectWithin(const StepDemand& demand, const std::vector<std::size_t>& among,
                                         const Stoppable& stoppable, double maxLoss, double limit,
-                                        const Rooms& capacities);
+                                        const TargetCapacities& capacities);
 
   const std::vector<PlannedRun>& m_runs;
   const TargetIndex& m_targets;
--- a/bench/policies.cpp
+++ b/bench/policies.cpp
@@ -46,8 +46,8 @@
   add("speeds-all-known");
   variants.back().speeds = SpeedsKnown::All;
   add("speeds-not-used").speeds = false;
-  add("no-slow-first").slowFirst = 0.0;
-  add("slow-below-mean").slowByNeed = false;
+  add("no-slow-first").slowTargetDiscount = 0.0;
+  add("slow-below-mean").slowByUrgentLateness = false;
   add("stops-in-time").stopMs = 500.0;
   add("no-ageing").ageAfterEstimates = 0.0;
   add("no-prospects").prospects = false;
--- a/test/LoadReplay.cpp
+++ b/test/LoadReplay.cpp
@@ -27,7 +27,7 @@
 constexpr double AtStartMs = 500.0;      ///< a crash this soon after a start accuses the run
 constexpr double LivesAfterMs = 2250.0;  ///< a run is seen to live: the start phase and a look
 constexpr double BackAfterMs = 3000.0;   ///< a target that a task has crashed
-constexpr Room Capacity = {128000, 524288, 8};
+constexpr ResourceAmounts Capacity = {128000, 524288, 8};
 
 /** What workflows of one kind ask for. */
 struct Shape {
@@ -458,7 +458,7 @@
     PlannedRun& planned = runs.emplace_back();
     planned.key = {job.workflow.record.id(), {0, 0, run.task}, job.number[run.task]};
     planned.target = run.target;
-    planned.need = roomOf(spec);
+    planned.need = resourceAmountsOf(spec);
     planned.rank = shapeOf(job.kind).rank;
     planned.stopping = run.stopAtMs > 0.0;
     planned.gang = run.gang;
@@ -502,7 +502,7 @@
     }
     const bool runs = std::any_of(job.active.begin(), job.active.end(), [](unsigned active) { return active > 0; });
     const std::size_t left = runs ? trialsLeft : std::max<std::size_t>(1, trialsLeft);
-    for (PlannedStep& part : divideForTrial(std::move(step), std::min(left, trialsOfStep(underWay, lived)))) {
+    for (PlannedStep& part : splitForTrial(std::move(step), std::min(left, trialsOfStep(underWay, lived)))) {
       if (part.trial) trialsLeft -= std::min(trialsLeft, part.tasks.size());
       steps.push_back(std::move(part));
     }
--- a/test/PlannerLoad.cpp
+++ b/test/PlannerLoad.cpp
@@ -12,7 +12,7 @@
 constexpr std::int64_t AcceleratorsPerTarget = 8;
 constexpr std::size_t TargetsPerRack = 8;
 constexpr std::size_t BacklogPer = 30;
-constexpr Room TargetCapacity = {128000, 262144, AcceleratorsPerTarget};
+constexpr ResourceAmounts TargetCapacity = {128000, 262144, AcceleratorsPerTarget};
 
 }  // namespace
 
@@ -96,7 +96,7 @@
     const std::int64_t accelerators = std::min<std::int64_t>(left, std::int64_t{1} << below(4));
     addRun(target, accelerators, below(5), chance(0.2) ? below(600) : between(0, 9000));
     if (chance(0.05)) runs.back().stopping = true;
-    if (chance(0.05)) runs.back().movable = false;
+    if (chance(0.05)) runs.back().preemptible = false;
     left -= accelerators;
   }
 }
@@ -112,7 +112,7 @@
     run.rank = rank;
     run.remainingMs = remainingMs;
     run.stopping = false;
-    run.movable = true;
+    run.preemptible = true;
   }
 }
 
@@ -139,7 +139,7 @@
   for (std::size_t i = 0; i < load.targets.size(); ++i) load.drawRuns(i);
   for (std::uint32_t i = load.below(6); i > 0; --i) load.drawGang(i);
   for (std::uint32_t i = 1 + load.below(24); i > 0; --i) load.drawStep();
-  load.keepWhole = load.below(4);
+  load.keepFullyFree = load.below(4);
   return load;
 }
 
--- a/test/PlannerLoad.h
+++ b/test/PlannerLoad.h
@@ -31,7 +31,7 @@
   std::vector<PlannedTarget> targets;
   std::vector<PlannedRun> runs;
   std::vector<PlannedStep> steps;
-  unsigned keepWhole = 0;
+  unsigned keepFullyFree = 0;
   double nowMs = NowMs;
 
  private:
--- a/test/objective.cpp
+++ b/test/objective.cpp
@@ -23,7 +23,7 @@
 
 double byEstimate(const schema::StepSpec& step) { return static_cast<double>(step.estimate_ms()); }
 
-constexpr Room FourTargets{256000, 256000, 32};
+constexpr ResourceAmounts FourTargets{256000, 256000, 32};
 
 }  // namespace
 
@@ -32,9 +32,9 @@
   addStep(spec, 1, 1, 1000);
   addStep(spec, 1, 1, 3000);
   addStep(spec, 1, 1, 500).add_after(0);
-  cr_assert_eq(longestChainMs(spec, byEstimate, FourTargets), 3000.0);
+  cr_assert_eq(criticalPathMs(spec, byEstimate, FourTargets), 3000.0);
   spec.mutable_steps(2)->set_estimate_ms(2500);
-  cr_assert_eq(longestChainMs(spec, byEstimate, FourTargets), 3500.0);
+  cr_assert_eq(criticalPathMs(spec, byEstimate, FourTargets), 3500.0);
 }
 
 Test(objective, a_step_wider_than_a_quarter_of_the_room_runs_in_waves) {
@@ -43,8 +43,8 @@
   cr_assert_eq(wavesOf(step, FourTargets), 1);
   step.set_count(9);
   cr_assert_eq(wavesOf(step, FourTargets), 2);
-  cr_assert_eq(longestChainMs(spec, byEstimate, FourTargets), 2000.0);
-  cr_assert_eq(longestChainMs(spec, byEstimate, Room()), 1000.0, "nothing is known of the room yet");
+  cr_assert_eq(criticalPathMs(spec, byEstimate, FourTargets), 2000.0);
+  cr_assert_eq(criticalPathMs(spec, byEstimate, ResourceAmounts()), 1000.0, "nothing is known of the room yet");
   step.mutable_need()->set_memory_mb(64000);
   cr_assert_eq(wavesOf(step, FourTargets), 9, "the scarcest kind of room decides");
 }
--- a/test/reference/FormerPlanner.cpp
+++ b/test/reference/FormerPlanner.cpp
@@ -24,9 +24,9 @@
 }  // namespace internal
 
 RunPlan FormerPlanner::plan(const std::vector<PlannedTarget>& targets, const std::vector<PlannedRun>& runs,
-                            std::vector<PlannedStep> steps, unsigned keepWhole, double nowMs) {
+                            std::vector<PlannedStep> steps, unsigned keepFullyFree, double nowMs) {
   m_targets = &targets;
-  m_keepWhole = m_options.headroom ? keepWhole : 0;
+  m_keepFullyFree = m_options.headroom ? keepFullyFree : 0;
   m_nowMs = nowMs;
   m_runs = &runs;
   m_steps = std::move(steps);
@@ -89,10 +89,10 @@
   m_endsSoon.assign(m_runs->size(), false);
   for (std::size_t r = 0; r < m_runs->size(); ++r) {
     const PlannedRun& run = (*m_runs)[r];
-    if (!run.movable || run.remainingMs > m_options.endsSoonMs) continue;
+    if (!run.preemptible || run.remainingMs > m_options.endsSoonMs) continue;
     const auto before = m_soonSince.find(run.key);
     since[run.key] = before == m_soonSince.end() ? m_nowMs : before->second;
-    m_endsSoon[r] = m_nowMs - since[run.key] <= m_options.endsSoonTrustMs;
+    m_endsSoon[r] = m_nowMs - since[run.key] <= m_options.endsSoonLimitMs;
   }
   m_soonSince = std::move(since);
 }
@@ -157,15 +157,15 @@
 bool FormerPlanner::hasOthers(const PlannedStep& step) const {
   const schema::StepSpec& spec = step.workflow->step(step.key.step);
   if (spec.gang()) return couldHold(step, all());
-  const Room need = roomOf(spec);
+  const ResourceAmounts need = resourceAmountsOf(spec);
   return std::any_of(m_targets->begin(), m_targets->end(),
                      [&](const PlannedTarget& target) { return allowed(step, target) && target.capacity.holds(need); });
 }
 
 /** Takes room of a target; all of it where one run at a time is the limit. */
-void FormerPlanner::occupy(Rooms& rooms, std::size_t target, const Room& need) const {
+void FormerPlanner::occupy(TargetCapacities& rooms, std::size_t target, const ResourceAmounts& need) const {
   if ((*m_targets)[target].single) {
-    rooms[target] = Room();
+    rooms[target] = ResourceAmounts();
   } else {
     rooms[target].subtract(need);
   }
@@ -174,12 +174,12 @@
 /** \returns whether targets could hold a whole gang if nothing else ran there, open to new runs now or not. */
 bool FormerPlanner::couldHold(const PlannedStep& step, const std::vector<std::size_t>& among) const {
   const schema::StepSpec& spec = step.workflow->step(step.key.step);
-  const Room need = roomOf(spec);
+  const ResourceAmounts need = resourceAmountsOf(spec);
   std::size_t held = 0;
   for (const std::size_t i : among) {
     const PlannedTarget& target = (*m_targets)[i];
     if (!wouldServe(step, target)) continue;
-    Room room = target.capacity;
+    ResourceAmounts room = target.capacity;
     for (unsigned tasks = 0; room.holds(need) && held < step.tasks.size(); ++tasks, ++held) {
       if (spec.max_per_target() > 0 && tasks >= spec.max_per_target()) break;
       room.subtract(need);
@@ -189,10 +189,10 @@
 }
 
 std::optional<std::size_t> FormerPlanner::best(const PlannedStep& step, const std::vector<std::size_t>& among,
-                                               const Rooms& rooms,
+                                               const TargetCapacities& rooms,
                                                const std::map<std::string, unsigned>& placed) const {
   const schema::StepSpec& spec = step.workflow->step(step.key.step);
-  const Room need = roomOf(spec);
+  const ResourceAmounts need = resourceAmountsOf(spec);
   std::optional<std::size_t> chosen;
   double least = std::numeric_limits<double>::max();
   for (const std::size_t i : among) {
@@ -215,20 +215,20 @@
 }
 
 /** \returns whether a target is one of the last whole ones, and the step can still wait. */
-bool FormerPlanner::keptForUrgent(const PlannedStep& step, std::size_t target, const Rooms& rooms) const {
-  if (m_keepWhole == 0 || step.isUrgent() || step.waitedMs >= m_options.headroomWaitMs) return false;
+bool FormerPlanner::keptForUrgent(const PlannedStep& step, std::size_t target, const TargetCapacities& rooms) const {
+  if (m_keepFullyFree == 0 || step.isUrgent() || step.waitedMs >= m_options.headroomWaitMs) return false;
   const auto isWhole = [&](std::size_t i) {
     return (*m_targets)[i].open && rooms[i].accelerators >= (*m_targets)[i].capacity.accelerators;
   };
   if (!isWhole(target)) return false;
   unsigned whole = 0;
   for (std::size_t i = 0; i < rooms.size(); ++i) whole += isWhole(i) ? 1 : 0;
-  return whole <= m_keepWhole;
+  return whole <= m_keepFullyFree;
 }
 
 void FormerPlanner::take(std::size_t index, const std::vector<std::size_t>& chosen) {
   PlannedStep& step = m_steps[index];
-  const Room need = roomOf(step.workflow->step(step.key.step));
+  const ResourceAmounts need = resourceAmountsOf(step.workflow->step(step.key.step));
   for (std::size_t i = 0; i < chosen.size(); ++i) {
     m_plan.starts.push_back({index, step.tasks[i], chosen[i]});
     occupy(m_free, chosen[i], need);
@@ -243,9 +243,9 @@
   std::vector<std::size_t> chosen;
   {
     PlannedStep& step = m_steps[index];
-    Rooms rooms = m_free;
+    TargetCapacities rooms = m_free;
     std::map<std::string, unsigned> placed = step.placedOn;
-    const Room need = roomOf(step.workflow->step(step.key.step));
+    const ResourceAmounts need = resourceAmountsOf(step.workflow->step(step.key.step));
     while (chosen.size() < step.tasks.size()) {
       const std::optional<std::size_t> target = best(step, among, rooms, placed);
       if (!target) break;
@@ -277,9 +277,9 @@
   return groups;
 }
 
-bool FormerPlanner::fillGang(const PlannedStep& step, const std::vector<std::size_t>& among, Rooms rooms,
+bool FormerPlanner::fillGang(const PlannedStep& step, const std::vector<std::size_t>& among, TargetCapacities rooms,
                              Choice& choice) const {
-  const Room need = roomOf(step.workflow->step(step.key.step));
+  const ResourceAmounts need = resourceAmountsOf(step.workflow->step(step.key.step));
   std::map<std::string, unsigned> placed = step.placedOn;
   choice = Choice();
   for (std::size_t i = 0; i < step.tasks.size(); ++i) {
@@ -295,12 +295,12 @@
   return true;
 }
 
-bool FormerPlanner::tryGang(const PlannedStep& step, const Rooms& rooms, Choice& choice) const {
+bool FormerPlanner::tryGang(const PlannedStep& step, const TargetCapacities& rooms, Choice& choice) const {
   return tryGroups(step, gangGroups(step), rooms, choice);
 }
 
 bool FormerPlanner::tryGroups(const PlannedStep& step, const std::vector<std::vector<std::size_t>>& groups,
-                              const Rooms& rooms, Choice& choice) const {
+                              const TargetCapacities& rooms, Choice& choice) const {
   bool found = false;
   for (const std::vector<std::size_t>& group : groups) {
     Choice next;
@@ -327,7 +327,7 @@
   const PlannedStep& step = m_steps[index];
   const bool mayStop = m_options.preemption && m_options.gangLossRatio > 0.0 && !step.isUrgent();
   if (!mayStop || step.waitedMs < m_options.gangStopsAfterMs) return false;
-  if (m_gangStops >= m_options.gangStopsAtOnce) return false;
+  if (m_gangStops >= m_options.maxGangStopsPerPlan) return false;
   ++m_gangStops;
   return preempt(index);
 }
@@ -341,7 +341,7 @@
 
 /** \returns whether a step may count on runs that are about to end; guaranteed work near its bound may not. */
 bool FormerPlanner::trustsEnds(const PlannedStep& step) const {
-  return step.rank != GuaranteedRank || step.waitedMs < m_options.guaranteedTrustMs;
+  return step.rank != GuaranteedRank || step.waitedMs < m_options.guaranteedStopAfterMs;
 }
 
 /** Sets room aside for what waits; if what is being stopped is not enough, chooses more to stop. */
@@ -376,7 +376,7 @@
 
 /** Keeps room that is being freed from later steps. */
 void FormerPlanner::setAside(const PlannedStep& step, const Choice& choice) {
-  const Room need = roomOf(step.workflow->step(step.key.step));
+  const ResourceAmounts need = resourceAmountsOf(step.workflow->step(step.key.step));
   for (const std::size_t target : choice.targets) {
     occupy(m_free, target, need);
     occupy(m_later, target, need);
@@ -405,7 +405,7 @@
   for (std::size_t r = 0; r < m_runs->size(); ++r) {
     const PlannedRun& run = (*m_runs)[r];
     const bool waitsForIt = m_endsSoon[r] && trustsEnds(step);
-    if (run.stopping || waitsForIt || !run.movable || run.rank <= step.rank) continue;
+    if (run.stopping || waitsForIt || !run.preemptible || run.rank <= step.rank) continue;
     stoppable.byTarget[run.target].push_back(r);
     if (!run.gang.empty()) stoppable.gangs[run.gang].push_back(r);
   }
@@ -429,8 +429,8 @@
 /** \returns what has to be stopped on one target so that it holds one more task, the cheapest first, or nothing. */
 std::optional<FormerPlanner::Clearing> FormerPlanner::clear(const PlannedStep& step, std::size_t target,
                                                             const Stoppable& stoppable, const std::vector<bool>& gone,
-                                                            Room room) const {
-  const Room need = roomOf(step.workflow->step(step.key.step));
+                                                            ResourceAmounts room) const {
+  const ResourceAmounts need = resourceAmountsOf(step.workflow->step(step.key.step));
   Clearing clearing{target, {}, penaltyOf(step, (*m_targets)[target])};
   const auto here = stoppable.byTarget.find(target);
   const std::vector<std::size_t> none;
@@ -454,7 +454,7 @@
                              std::vector<std::size_t>& victims, double& cost) const {
   const schema::StepSpec& spec = step.workflow->step(step.key.step);
   const Stoppable stoppable = stoppableFor(step);
-  Rooms rooms = laterFor(step);
+  TargetCapacities rooms = laterFor(step);
   std::vector<bool> gone = m_stopped;
   std::map<std::string, unsigned> placed = step.placedOn;
   for (std::size_t task = 0; task < step.tasks.size(); ++task) {
@@ -475,7 +475,7 @@
       victims.push_back(r);
       rooms[(*m_runs)[r].target].add((*m_runs)[r].need);
     }
-    occupy(rooms, cheapest->target, roomOf(spec));
+    occupy(rooms, cheapest->target, resourceAmountsOf(spec));
     ++placed[(*m_targets)[cheapest->target].id];
     choice.targets.push_back(cheapest->target);
     cost += cheapest->price;
@@ -488,7 +488,7 @@
                                                  const std::vector<std::size_t>* among) const {
   const std::vector<std::vector<std::size_t>> groups =
       among == nullptr ? gangGroups(step) : std::vector<std::vector<std::size_t>>{*among};
-  Rooms rooms = m_free;
+  TargetCapacities rooms = m_free;
   for (const std::size_t r : m_byEnd) {
     const PlannedRun& run = (*m_runs)[r];
     rooms[run.target].add(run.need);
@@ -518,19 +518,19 @@
   if (!wait) wait = naturalWait(step, choice);
   if (!wait) return;
   for (const std::size_t target : choice.targets) m_waitingFor[nameOf(step)].insert((*m_targets)[target].id);
-  const Room need = roomOf(step.workflow->step(step.key.step));
-  Reservation reservation{Rooms(m_targets->size()), *wait};
+  const ResourceAmounts need = resourceAmountsOf(step.workflow->step(step.key.step));
+  Reservation reservation{TargetCapacities(m_targets->size()), *wait};
   for (const std::size_t target : choice.targets) reservation.rooms[target].add(need);
   m_reservations.push_back(std::move(reservation));
 }
 
 /** \returns whether a target's room is kept for gangs that would be held up by the step. */
-bool FormerPlanner::keptByReservations(const PlannedStep& step, std::size_t target, const Room& room,
-                                       const Room& need) const {
-  Room spare = room;
+bool FormerPlanner::keptByReservations(const PlannedStep& step, std::size_t target, const ResourceAmounts& room,
+                                       const ResourceAmounts& need) const {
+  ResourceAmounts spare = room;
   bool kept = false;
   for (const Reservation& reservation : m_reservations) {
-    const Room& set = reservation.rooms[target];
+    const ResourceAmounts& set = reservation.rooms[target];
     const bool here = set.cpuMilli > 0 || set.memoryMb > 0 || set.accelerators > 0;
     if (!here || m_options.backfillMargin * step.estimateMs <= reservation.untilMs) continue;
     spare.subtract(set);
--- a/test/reference/FormerPlanner.h
+++ b/test/reference/FormerPlanner.h
@@ -21,22 +21,22 @@
  public:
   explicit FormerPlanner(RunPlannerOptions options = {}) : m_options(options) {}
 
-  /** \param keepWhole targets to be kept wholly free for priority 0 \param nowMs wall clock, ms since 1970 */
+  /** \param keepFullyFree targets to be kept wholly free for priority 0 \param nowMs wall clock, ms since 1970 */
   RunPlan plan(const std::vector<PlannedTarget>& targets, const std::vector<PlannedRun>& runs,
-               std::vector<PlannedStep> steps, unsigned keepWhole = 0, double nowMs = 0.0);
+               std::vector<PlannedStep> steps, unsigned keepFullyFree = 0, double nowMs = 0.0);
 
  private:
-  using Rooms = std::vector<Room>;
+  using TargetCapacities = std::vector<ResourceAmounts>;
   using StepName = std::pair<std::string, StepKey>;
   struct Choice {
     std::vector<std::size_t> targets;  ///< one for each task
     double cost = 0.0;
   };
 
-  /** Room that will be free for a gang that waits. */
+  /** ResourceAmounts that will be free for a gang that waits. */
   struct Reservation {
-    Rooms rooms;           ///< by target
-    double untilMs = 0.0;  ///< time until then; what ends before may use it
+    TargetCapacities rooms;  ///< by target
+    double untilMs = 0.0;    ///< time until then; what ends before may use it
   };
 
   /** Runs that may be stopped, by index among the given runs. */
@@ -57,32 +57,34 @@
   void serve(std::size_t index);
   void servePieces(std::size_t index);
   void serveGang(std::size_t index);
-  bool tryGang(const PlannedStep& step, const Rooms& rooms, Choice& choice) const;
-  bool tryGroups(const PlannedStep& step, const std::vector<std::vector<std::size_t>>& groups, const Rooms& rooms,
-                 Choice& choice) const;
-  bool fillGang(const PlannedStep& step, const std::vector<std::size_t>& among, Rooms rooms, Choice& choice) const;
-  std::optional<std::size_t> best(const PlannedStep& step, const std::vector<std::size_t>& among, const Rooms& rooms,
-                                  const std::map<std::string, unsigned>& placed) const;
+  bool tryGang(const PlannedStep& step, const TargetCapacities& rooms, Choice& choice) const;
+  bool tryGroups(const PlannedStep& step, const std::vector<std::vector<std::size_t>>& groups,
+                 const TargetCapacities& rooms, Choice& choice) const;
+  bool fillGang(const PlannedStep& step, const std::vector<std::size_t>& among, TargetCapacities rooms,
+                Choice& choice) const;
+  std::optional<std::size_t> best(const PlannedStep& step, const std::vector<std::size_t>& among,
+                                  const TargetCapacities& rooms, const std::map<std::string, unsigned>& placed) const;
   double penaltyOf(const PlannedStep& step, const PlannedTarget& target) const;
   bool allowed(const PlannedStep& step, const PlannedTarget& target) const;
   bool preempt(std::size_t index);
   bool preemptForGang(std::size_t index);
   double worthStopping(const PlannedStep& step) const;
   bool trustsEnds(const PlannedStep& step) const;
-  const Rooms& laterFor(const PlannedStep& step) const { return trustsEnds(step) ? m_later : m_sure; }
+  const TargetCapacities& laterFor(const PlannedStep& step) const { return trustsEnds(step) ? m_later : m_sure; }
   Stoppable stoppableFor(const PlannedStep& step) const;
   std::vector<std::size_t> wholeOf(const Stoppable& stoppable, std::size_t run) const;
   std::optional<Clearing> clear(const PlannedStep& step, std::size_t target, const Stoppable& stoppable,
-                                const std::vector<bool>& gone, Room room) const;
+                                const std::vector<bool>& gone, ResourceAmounts room) const;
   bool makeRoom(const PlannedStep& step, const std::vector<std::size_t>& among, Choice& choice,
                 std::vector<std::size_t>& victims, double& cost) const;
   void reserve(const PlannedStep& step);
-  bool keptByReservations(const PlannedStep& step, std::size_t target, const Room& room, const Room& need) const;
+  bool keptByReservations(const PlannedStep& step, std::size_t target, const ResourceAmounts& room,
+                          const ResourceAmounts& need) const;
   std::optional<double> naturalWait(const PlannedStep& step, Choice& choice,
                                     const std::vector<std::size_t>* among = nullptr) const;
   std::vector<std::size_t> waitedFor(const PlannedStep& step) const;
   bool waitsInPeace(const PlannedStep& step);
-  bool keptForUrgent(const PlannedStep& step, std::size_t target, const Rooms& rooms) const;
+  bool keptForUrgent(const PlannedStep& step, std::size_t target, const TargetCapacities& rooms) const;
   static StepName nameOf(const PlannedStep& step) { return {step.workflow->record.id(), step.key}; }
   bool nominatedForOther(const PlannedStep& step, const std::string& target) const;
   void setAside(const PlannedStep& step, const Choice& choice);
@@ -92,7 +94,7 @@
   static bool isFull(const schema::StepSpec& spec, const std::string& target,
                      const std::map<std::string, unsigned>& placed);
   bool hasOthers(const PlannedStep& step) const;
-  void occupy(Rooms& rooms, std::size_t target, const Room& need) const;
+  void occupy(TargetCapacities& rooms, std::size_t target, const ResourceAmounts& need) const;
   bool couldHold(const PlannedStep& step, const std::vector<std::size_t>& among) const;
   bool wouldServe(const PlannedStep& step, const PlannedTarget& target) const;
   std::vector<std::vector<std::size_t>> gangGroups(const PlannedStep& step) const;
@@ -102,11 +104,11 @@
   const std::vector<PlannedTarget>* m_targets = nullptr;
   const std::vector<PlannedRun>* m_runs = nullptr;
   std::vector<PlannedStep> m_steps;
-  Rooms m_free;   ///< now
-  Rooms m_later;  ///< once what is being stopped, or is about to end, has ended
-  Rooms m_sure;   ///< once what is being stopped has ended
+  TargetCapacities m_free;   ///< now
+  TargetCapacities m_later;  ///< once what is being stopped, or is about to end, has ended
+  TargetCapacities m_sure;   ///< once what is being stopped has ended
   std::vector<Reservation> m_reservations;
-  unsigned m_keepWhole = 0;
+  unsigned m_keepFullyFree = 0;
   unsigned m_gangStops = 0;  ///< gangs outside priority 0 that made room in this plan
   double m_nowMs = 0.0;
   std::map<StepName, std::set<std::string>> m_nominated;   ///< targets being freed for a step, as of the last plan
--- a/test/run_planner.cpp
+++ b/test/run_planner.cpp
@@ -73,13 +73,13 @@
     return run;
   }
 
-  RunPlan plan(unsigned keepWhole = 0, RunPlannerOptions options = {}) {
+  RunPlan plan(unsigned keepFullyFree = 0, RunPlannerOptions options = {}) {
     RunPlanner planner(options);
-    return planWith(planner, keepWhole);
+    return planWith(planner, keepFullyFree);
   }
   /** Plans with a planner that has planned before. */
-  RunPlan planWith(RunPlanner& planner, unsigned keepWhole = 0) {
-    return planner.plan(m_targets, m_runs, m_steps, keepWhole, nowMs);
+  RunPlan planWith(RunPlanner& planner, unsigned keepFullyFree = 0) {
+    return planner.plan(m_targets, m_runs, m_steps, keepFullyFree, nowMs);
   }
   void endRuns() { m_runs.clear(); }
   WorkflowState& workflow(std::size_t step) { return m_workflows[step]; }
@@ -465,20 +465,20 @@
   const auto open = [](std::size_t) { return true; };
   PlannerTable same;
   RunPlan plan = planFor(same);
-  dropOutdated(plan, same.steps(), open);
+  removeOutdated(plan, same.steps(), open);
   cr_assert_eq(plan.starts.size(), 3);
 
   PlannerTable closed;
   plan = planFor(closed);
   const std::size_t lost = plan.starts.back().target;
-  dropOutdated(plan, closed.steps(), [lost](std::size_t target) { return target != lost; });
+  removeOutdated(plan, closed.steps(), [lost](std::size_t target) { return target != lost; });
   cr_assert_eq(startsOf(plan, 0), 1);
   cr_assert_eq(startsOf(plan, 1), 0, "of a gang all or none");
 
   PlannerTable started;
   plan = planFor(started);
   started.workflow(1).tasks[{0, 0, 1}].active.emplace_back();
-  dropOutdated(plan, started.steps(), open);
+  removeOutdated(plan, started.steps(), open);
   cr_assert_eq(startsOf(plan, 1), 0, "a member runs already");
 
   PlannerTable gone;
@@ -486,7 +486,7 @@
   plan.stops.push_back({RunKey{}, 0});
   gone.forgetWorkflow(0);
   gone.workflow(1).record.set_phase(schema::WorkflowCancelled);
-  dropOutdated(plan, gone.steps(), open);
+  removeOutdated(plan, gone.steps(), open);
   cr_assert(plan.starts.empty());
   cr_assert(plan.stops.empty(), "nothing is stopped for work that is gone");
 }
@@ -554,8 +554,8 @@
   table.waits(1, 4, rankOf(1, false)).objectiveMs = NowMs + 20000.0;
   cr_assert(startsOn(table.plan(), 0));
   RunPlannerOptions belowMean;
-  belowMean.slowByNeed = false;
-  belowMean.slowFirst = 60.0;
+  belowMean.slowByUrgentLateness = false;
+  belowMean.slowTargetDiscount = 60.0;
   cr_assert(startsOn(table.plan(0, belowMean), 3), "the variant scatters it");
 }
 
--- a/test/run_planner_reference.cpp
+++ b/test/run_planner_reference.cpp
@@ -57,7 +57,7 @@
 
 /** \returns what is wrong with the starts of a plan, or an empty string. */
 std::string faultOfStarts(const PlannerLoad& load, const RunPlan& plan) {
-  Rooms rooms;
+  TargetCapacities rooms;
   for (const PlannedTarget& target : load.targets) rooms.push_back(target.capacity);
   std::vector<unsigned> running(load.targets.size(), 0);
   for (const PlannedRun& run : load.runs) {
@@ -69,7 +69,7 @@
   for (const RunPlan::Start& start : plan.starts) {
     const PlannedStep& step = load.steps[start.step];
     if (!mayHave(load.targets[start.target], step)) return "a target that may not have it";
-    const Room need = roomOf(step.workflow->step(0));
+    const ResourceAmounts need = resourceAmountsOf(step.workflow->step(0));
     if (!rooms[start.target].holds(need)) return "no room";
     rooms[start.target].subtract(need);
     if (load.targets[start.target].single && ++running[start.target] > 1)
@@ -96,7 +96,7 @@
   for (const RunPlan::Stop& stop : plan.stops) {
     const PlannedRun& run = *byKey.at(stop.run);
     if (!stopped.insert(stop.run).second) return "a run twice";
-    if (run.stopping || !run.movable) return "a run that is not to be stopped";
+    if (run.stopping || !run.preemptible) return "a run that is not to be stopped";
     if (run.rank <= load.steps[stop.forStep].rank) return "a run of the same rank or a higher one";
     if (!run.gang.empty()) gangs.insert(run.gang);
   }
@@ -125,8 +125,8 @@
     RunPlanner planner;
     FormerPlanner reference;
     for (int pass = 0; pass < PassesEach; ++pass) {
-      const RunPlan plan = planner.plan(load.targets, load.runs, load.steps, load.keepWhole, load.nowMs);
-      const RunPlan other = reference.plan(load.targets, load.runs, load.steps, load.keepWhole, load.nowMs);
+      const RunPlan plan = planner.plan(load.targets, load.runs, load.steps, load.keepFullyFree, load.nowMs);
+      const RunPlan other = reference.plan(load.targets, load.runs, load.steps, load.keepFullyFree, load.nowMs);
       const std::string fault = faultOfStarts(load, plan) + faultOfStops(load, plan);
       cr_assert(fault.empty(), "seed %lu, pass %d: %s", seed, pass, fault.c_str());
       now.add(accountOf(load, plan));
--- a/test/trials.cpp
+++ b/test/trials.cpp
@@ -78,7 +78,7 @@
 
 Test(trials, a_step_without_crashes_stays_whole) {
   WorkflowState workflow;
-  const std::vector<PlannedStep> parts = divideForTrial(waitingStep(workflow), 1);
+  const std::vector<PlannedStep> parts = splitForTrial(waitingStep(workflow), 1);
   cr_assert_eq(parts.size(), 1);
   cr_assert_not(parts[0].trial);
   cr_assert_eq(parts[0].tasks.size(), 4);
@@ -87,7 +87,7 @@
 Test(trials, a_suspect_is_tried_apart_and_the_others_go_on) {
   WorkflowState workflow;
   crash(workflow, 2, "t1", schema::CrashAtStart);
-  const std::vector<PlannedStep> parts = divideForTrial(waitingStep(workflow), 1);
+  const std::vector<PlannedStep> parts = splitForTrial(waitingStep(workflow), 1);
   cr_assert_eq(parts.size(), 2);
   cr_assert(parts[0].trial && parts[0].tasks == std::vector<std::uint32_t>{2});
   cr_assert(parts[1].tasks == std::vector<std::uint32_t>({0, 1, 3}));
@@ -97,10 +97,10 @@
   WorkflowState workflow;
   crash(workflow, 0, "t1", schema::CrashAtStart);
   crash(workflow, 1, "t2", schema::CrashAtStart);
-  const std::vector<PlannedStep> parts = divideForTrial(waitingStep(workflow), 1);
+  const std::vector<PlannedStep> parts = splitForTrial(waitingStep(workflow), 1);
   cr_assert_eq(parts.size(), 1);
   cr_assert(parts[0].trial && parts[0].tasks == std::vector<std::uint32_t>{0});
-  cr_assert(divideForTrial(waitingStep(workflow), 0).empty());
+  cr_assert(splitForTrial(waitingStep(workflow), 0).empty());
 }
 
 // Each task that lasts, and each of a guarantee, has a time by which it must begin.
@@ -110,8 +110,8 @@
   crash(workflow, 1, "t2", schema::CrashAtStart);
   PlannedStep step = waitingStep(workflow);
   step.rank = GuaranteedRank;
-  cr_assert(hasToBegin(step));
-  const std::vector<PlannedStep> parts = divideForTrial(std::move(step), 4);
+  cr_assert(mustStartSoon(step));
+  const std::vector<PlannedStep> parts = splitForTrial(std::move(step), 4);
   cr_assert_eq(parts.size(), 2);
   cr_assert_eq(parts[0].tasks.size() + parts[1].tasks.size(), 4);
 }
