--- a/Courseloom/src/Control/ControlService.cpp
+++ b/Courseloom/src/Control/ControlService.cpp
@@ -162,7 +162,7 @@
 
 Result<void> ControlService::checkJob(schema::JobSpec& spec) const {
   BOOST_LEAF_CHECK(checkMessage("submit", spec));
-  if (m_jobs.knowsWorkers() && !m_jobs.scheduler().everFits(spec.shape())) {
+  if (m_jobs.knowsWorkers() && !m_jobs.scheduler().fitsEmptyCluster(spec.shape())) {
     return fail(Failure{FailureCode::ImpossibleShape, Ran::No, "submit", "",
                         "no " + schema::Adjacency_Name(spec.shape().adjacency()) +
                             " group of workers could ever hold " + std::to_string(spec.shape().tasks()) + " tasks of " +
@@ -191,7 +191,7 @@
   }
   if (command.has_action() && command.action().kind() == schema::Reshape) {
     BOOST_LEAF_CHECK(checkMessage("reshape", *command.mutable_action()->mutable_shape()));
-    if (m_jobs.knowsWorkers() && !m_jobs.scheduler().everFits(command.action().shape())) {
+    if (m_jobs.knowsWorkers() && !m_jobs.scheduler().fitsEmptyCluster(command.action().shape())) {
       return fail(
           Failure{FailureCode::ImpossibleShape, Ran::No, "reshape", "", "no group of workers could ever hold it", 0});
     }
@@ -221,7 +221,7 @@
   std::vector<schema::Object> all;
   all.reserve(guarantees.size());
   for (const auto& [name, object] : guarantees) all.push_back(object);
-  const std::optional<std::string> refused = m_jobs.scheduler().refusesGuarantees(all);
+  const std::optional<std::string> refused = m_jobs.scheduler().guaranteeConflict(all);
   if (!refused) return {};
   return fail(Failure{FailureCode::GuaranteeNotPossible, Ran::No, "apply", "", *refused, 0});
 }
--- a/Courseloom/src/Control/JobRunner.cpp
+++ b/Courseloom/src/Control/JobRunner.cpp
@@ -82,7 +82,7 @@
     if (id.first == "service" && held) services.insert(id.second);
   }
   m_scheduler.setGuarantees(guarantees);
-  m_scheduler.setHeld(std::move(workspaces), std::move(services));
+  m_scheduler.setBlocked(std::move(workspaces), std::move(services));
 }
 
 void JobRunner::reloadJobs() {
--- a/Courseloom/src/Control/WorkflowAgents.cpp
+++ b/Courseloom/src/Control/WorkflowAgents.cpp
@@ -87,7 +87,7 @@
 
 schema::RecordRuns WorkflowRunner::collectEnds(const schema::AttendRequest& report, Time received) {
   schema::RecordRuns runs;
-  for (schema::RunEnd& end : m_ledger.takeReport(report, received)) {
+  for (schema::RunEnd& end : m_ledger.receiveReport(report, received)) {
     recordFullRunTime(end, received);
     recordStartSurvived(end);
     logRunEnd(end, report);
@@ -120,7 +120,7 @@
   const bool hasUpdates = !wasKnown || request.ends_size() > 0 || request.started_size() > 0;
   while (leads() && !hasUpdates && !m_released && BootClock::now() < end) {
     if (m_ledger.reportRequested(request.agent()) || m_ledger.isOvertaken(request)) break;
-    if (m_ledger.hasOrders(request.agent(), table(), BootClock::now())) break;
+    if (m_ledger.hasDueOrders(request.agent(), table(), BootClock::now())) break;
     co_await m_agentSignals[request.agent()].wait(end);
   }
   // State from before a change of leader is discarded, so this report must not be answered in a later term.
@@ -137,7 +137,7 @@
   }
   // The connection of a superseded report may be broken, so its answer must not carry orders.
   if (!m_ledger.isOvertaken(request)) {
-    for (schema::RunOrder& order : m_ledger.takeOrders(request.agent(), table(), now)) {
+    for (schema::RunOrder& order : m_ledger.issueOrders(request.agent(), table(), now)) {
       *reply.add_orders() = std::move(order);
     }
   }
--- a/Courseloom/src/Control/WorkflowPlanning.cpp
+++ b/Courseloom/src/Control/WorkflowPlanning.cpp
@@ -95,7 +95,7 @@
 
 void WorkflowRunner::stopPlanned(const RunPlan& plan, const std::vector<PlannedStep>& steps) {
   for (const RunPlan::Stop& stop : plan.stops) {
-    notifyAgent(m_ledger.wantStop(stop.run));
+    notifyAgent(m_ledger.requestStop(stop.run));
     const PlannedStep& step = steps[stop.forStep];
     logEvent(schema::RunPreempted, {{"task", taskText(makeTaskId(stop.run.workflow, stop.run.task))},
                                     {"run", std::uint64_t{stop.run.run}},
@@ -267,7 +267,7 @@
     run.target = target->second;
     run.need = shared->need;
     run.rank = shared->rank;
-    run.stopping = track.stopWanted || shared->ended;
+    run.stopping = track.stopRequested || shared->ended;
     run.preemptible = shared->preemptible;
     if (shared->gang) run.gang = internal::gang_name(key);
     const double ranMs = toMilliseconds(now - track.startedAt);
--- a/Courseloom/src/Control/WorkflowRunTimes.cpp
+++ b/Courseloom/src/Control/WorkflowRunTimes.cpp
@@ -46,7 +46,7 @@
   const auto target = m_ledger.targets().find(track.agent);
   if (target == m_ledger.targets().end() || step.long_running()) return std::nullopt;
   if (!step.preferred_rack().empty() && step.preferred_rack() != target->second.report.rack()) return std::nullopt;
-  return wholeByPaceMs(track);
+  return durationFromProgressMs(track);
 }
 
 /** \returns whether an active run started its task from the beginning rather than from a checkpoint. */
@@ -147,7 +147,8 @@
  * \param usualMs expected run time of its whole task on a usual target, ms */
 double WorkflowRunner::remainingMs(const RunTrack& track, double usualMs) const {
   const double leftMs = usualMs * timeFactor(track.target) * (1.0 - track.percent / internal::WholePercent);
-  const std::optional<double> byPace = learnsRunTimes() ? remainingByPaceMs(track, BootClock::now()) : std::nullopt;
+  const std::optional<double> byPace =
+      learnsRunTimes() ? remainingFromProgressMs(track, BootClock::now()) : std::nullopt;
   return byPace ? *byPace : std::max(0.0, leftMs);
 }
 
--- a/Courseloom/src/Control/WorkflowRunner.cpp
+++ b/Courseloom/src/Control/WorkflowRunner.cpp
@@ -37,9 +37,9 @@
 
 RunLedgerOptions ledger_options(const schema::Settings& settings) {
   RunLedgerOptions options;
-  options.grant = grantLength(settings.control());
-  options.leavingGrant = milliseconds(settings.control().run_grant_ms());
-  options.reportsEachSecond = settings.control().reports_each_second();
+  options.grant = leaseLength(settings.control());
+  options.leavingLease = milliseconds(settings.control().run_grant_ms());
+  options.reportsPerSecond = settings.control().reports_each_second();
   return options;
 }
 
@@ -164,7 +164,7 @@
   if (!m_leads) return;
   std::vector<RunKey> unconfirmedStarts;
   for (const auto& [key, track] : m_ledger.runs()) {
-    if (!track.confirmed && !track.stopWanted && runsInDrainedHall(track)) unconfirmedStarts.push_back(key);
+    if (!track.confirmed && !track.stopRequested && runsInDrainedHall(track)) unconfirmedStarts.push_back(key);
   }
   for (const RunKey& key : unconfirmedStarts) stopRunOrGang(key, "its data hall is drained");
   requestPlan();
@@ -317,7 +317,7 @@
   const std::uint32_t last = gang ? workflow->step(key.task.step).count() - 1 : key.task.index;
   for (std::uint32_t index = first; index <= last; ++index) {
     const RunKey member{key.workflow, {key.task.occurrence, key.task.step, index}, key.run};
-    notifyAgent(m_ledger.wantStop(member));
+    notifyAgent(m_ledger.requestStop(member));
   }
   logEvent(
       schema::RunMoved,
@@ -348,15 +348,15 @@
   const schema::Workflow& record = table().find(key.workflow)->record;
   const schema::StepSpec& step = record.spec().steps(static_cast<int>(key.task.step));
   if (!track.confirmed || step.long_running() || track.percent >= internal::WholePercent) return false;
-  if (track.stillMs <= internal::StallMs) return false;
+  if (track.noProgressMs <= internal::StallMs) return false;
   const double stallLimitMs =
       std::max(internal::StallMs, internal::StallShare * timeFactor(track.target) * expectedMs(record.queue(), step));
-  if (!step.gang()) return track.stillMs > stallLimitMs;
+  if (!step.gang()) return track.noProgressMs > stallLimitMs;
   for (std::uint32_t index = 0; index < step.count(); ++index) {
     const RunKey member{key.workflow, {key.task.occurrence, key.task.step, index}, key.run};
     const auto found = m_ledger.runs().find(member);
     const bool still =
-        found != m_ledger.runs().end() && found->second.confirmed && found->second.stillMs > stallLimitMs;
+        found != m_ledger.runs().end() && found->second.confirmed && found->second.noProgressMs > stallLimitMs;
     if (!still) return false;
   }
   return true;
@@ -367,7 +367,7 @@
   std::vector<RunKey> still;
   for (const auto& [key, track] : m_ledger.runs()) {
     const WorkflowState* workflow = table().find(key.workflow);
-    if (track.stopWanted || workflow == nullptr || workflow->ended()) continue;
+    if (track.stopRequested || workflow == nullptr || workflow->ended()) continue;
     // A long-running task never ends by itself and would keep a drained data hall in use for good.
     const bool endless = workflow->step(key.task.step).long_running() && runsInDrainedHall(track);
     if (endless || endsAfterTarget(key, track)) leaving.push_back(key);
--- a/Courseloom/src/Scheduling/RunLedger.cpp
+++ b/Courseloom/src/Scheduling/RunLedger.cpp
@@ -53,7 +53,7 @@
 }  // namespace
 }  // namespace internal
 
-Duration grantLength(const schema::ControlSettings& settings) {
+Duration leaseLength(const schema::ControlSettings& settings) {
   const Duration minimum = milliseconds(settings.run_grant_ms());
   if (settings.outage_s() == 0) return minimum;
   return std::max(minimum, milliseconds(std::int64_t{1000} * settings.outage_s()) + internal::ElectionAllowance);
@@ -114,13 +114,13 @@
 // ---- reports
 
 bool RunLedger::isCurrent(const schema::AttendRequest& report) const {
-  return !m_options.doubtReports || report.term() == m_term;
+  return !m_options.rejectStaleReports || report.term() == m_term;
 }
 
 /** The incarnations of an agent that this leader has answered ran one after another, in the order of their first
  * contact: an earlier one was answered, and so recorded, before its successor began. */
 bool RunLedger::isOvertaken(const schema::AttendRequest& report) const {
-  if (!m_options.doubtReports || !isCurrent(report)) return false;
+  if (!m_options.rejectStaleReports || !isCurrent(report)) return false;
   const auto found = m_targets.find(report.agent());
   if (found == m_targets.end()) return false;
   const TargetTrack& target = found->second;
@@ -165,11 +165,11 @@
 }
 
 Duration RunLedger::reportWait() const {
-  const auto wanted = milliseconds(1000) * static_cast<std::int64_t>(m_targets.size()) / m_options.reportsEachSecond;
+  const auto wanted = milliseconds(1000) * static_cast<std::int64_t>(m_targets.size()) / m_options.reportsPerSecond;
   return std::min(Duration(wanted), m_options.silenceLimit - internal::ReportTransit);
 }
 
-std::vector<schema::RunEnd> RunLedger::takeReport(const schema::AttendRequest& report, Time now) {
+std::vector<schema::RunEnd> RunLedger::receiveReport(const schema::AttendRequest& report, Time now) {
   recordContact(report);
   if (!isCurrent(report) || isOvertaken(report)) return {};
   TargetTrack& target = track(report.agent());
@@ -233,7 +233,7 @@
     if (!row.checkpoint().empty()) track.checkpoint = row.checkpoint();
     if (row.percent() != track.percent) track.percentChanged = seen;
     track.percent = row.percent();
-    track.stillMs = row.still_ms();
+    track.noProgressMs = row.still_ms();
     track.seen = std::max(track.seen, seen);
     if (track.firstSeen == Time{}) {
       track.firstSeen = seen;
@@ -257,19 +257,19 @@
   TargetTrack& target = track(agent);
   if (target.report.id().empty()) return Duration(0);
   const Duration length =
-      target.report.draining() ? std::min(m_options.grant, m_options.leavingGrant) : m_options.grant;
+      target.report.draining() ? std::min(m_options.grant, m_options.leavingLease) : m_options.grant;
   // An earlier lease may have been longer, and so may still end later than this one.
-  target.grantUntil = std::max(target.grantUntil, now + length);
+  target.leaseUntil = std::max(target.leaseUntil, now + length);
   return length;
 }
 
 /** \returns when the last lease of an agent ends. A former leader may have granted leases up to the instant at which
  * this one began. */
 Time RunLedger::leaseEnd(const std::string& agent) const {
-  if (!m_options.waitForGrants) return m_leaderSince;
-  const Time inherited = m_options.inheritGrants ? m_leaderSince + m_options.grant : m_leaderSince;
+  if (!m_options.waitForLeases) return m_leaderSince;
+  const Time inherited = m_options.inheritLeases ? m_leaderSince + m_options.grant : m_leaderSince;
   const auto found = m_targets.find(agent);
-  return found == m_targets.end() ? inherited : std::max(inherited, found->second.grantUntil);
+  return found == m_targets.end() ? inherited : std::max(inherited, found->second.leaseUntil);
 }
 
 std::vector<schema::RunEnd> RunLedger::expire(Time now) {
@@ -361,24 +361,24 @@
 }
 
 bool RunLedger::startDue(const RunTrack& track, Time now) const {
-  if (track.confirmed || track.stopWanted) return false;
+  if (track.confirmed || track.stopRequested) return false;
   // The task's next run may begin as soon as the end of this one is committed, so this one must no longer be started.
-  if (track.endProposed && m_options.withholdEnding) return false;
-  return track.startOrderedAt == Time{} || now >= track.startOrderedAt + m_options.redeliverAfter;
+  if (track.endProposed && m_options.withholdEndingRuns) return false;
+  return track.startOrderedAt == Time{} || now >= track.startOrderedAt + m_options.retryOrdersAfter;
 }
 
 bool RunLedger::stopDue(const RunKey& key, const RunTrack& track, const WorkflowTable& table, Time now) const {
   const WorkflowState* workflow = table.find(key.workflow);
   const bool over = internal::is_over(table, key);
-  if (!over && !track.stopWanted) return false;
+  if (!over && !track.stopRequested) return false;
   const bool finishing = workflow != nullptr && workflow->record.phase() == schema::WorkflowCompleted;
   const TaskState* task = workflow == nullptr ? nullptr : workflow->task(key.task);
   const bool endsByItself = finishing || (task != nullptr && task->done);
   if (endsByItself && now < track.percentChanged + internal::DoneGrace) return false;
-  return track.stopOrderedAt == Time{} || now >= track.stopOrderedAt + m_options.redeliverAfter;
+  return track.stopOrderedAt == Time{} || now >= track.stopOrderedAt + m_options.retryOrdersAfter;
 }
 
-bool RunLedger::hasOrders(const std::string& agent, const WorkflowTable& table, Time now) const {
+bool RunLedger::hasDueOrders(const std::string& agent, const WorkflowTable& table, Time now) const {
   const auto keys = m_byAgent.find(agent);
   if (keys == m_byAgent.end()) return false;
   for (const RunKey& key : keys->second) {
@@ -390,7 +390,7 @@
   return false;
 }
 
-std::vector<schema::RunOrder> RunLedger::takeOrders(const std::string& agent, const WorkflowTable& table, Time now) {
+std::vector<schema::RunOrder> RunLedger::issueOrders(const std::string& agent, const WorkflowTable& table, Time now) {
   std::vector<schema::RunOrder> orders;
   const auto add = [&](schema::RunOrderKind kind, const RunKey& key) -> schema::RunOrder& {
     schema::RunOrder& order = orders.emplace_back();
@@ -430,10 +430,10 @@
   return orders;
 }
 
-std::string RunLedger::wantStop(const RunKey& key) {
+std::string RunLedger::requestStop(const RunKey& key) {
   const auto found = m_runs.find(key);
   if (found == m_runs.end()) return {};
-  found->second.stopWanted = true;
+  found->second.stopRequested = true;
   return found->second.agent;
 }
 
--- a/Courseloom/src/Scheduling/RunLedger.h
+++ b/Courseloom/src/Scheduling/RunLedger.h
@@ -34,19 +34,20 @@
 struct RunLedgerOptions {
   Duration grant = milliseconds(5500);         ///< lease: how long an agent may hold runs after an answer of the leader
   Duration slack = milliseconds(300);          ///< added to the end of a lease before the agent's runs count as lapsed
-  Duration leavingGrant = milliseconds(5500);  ///< upper limit of the lease while the agent's target is draining
+  Duration leavingLease = milliseconds(5500);  ///< upper limit of the lease while the agent's target is draining
   Duration silenceLimit = milliseconds(2500);  ///< an agent gets no new runs once its last contact is this long ago
-  Duration redeliverAfter = milliseconds(1500);  ///< an order without a reported result is sent again after this time
+  Duration retryOrdersAfter = milliseconds(1500);  ///< an order without a reported result is sent again after this time
   /** An agent whose last contact is at most this long ago is taken to be reachable. Covers many round trips. */
   Duration fresh = milliseconds(150);
-  unsigned reportsEachSecond = 1000;  ///< wanted rate of reports from all agents together while nothing happens
+  unsigned reportsPerSecond = 1000;  ///< wanted rate of reports from all agents together while nothing happens
   /** An agent that has not answered a request for a report within this time gets no new runs. */
   Duration reportRequestTimeout = milliseconds(150);
   // Proofs use these switches to turn single mechanisms off. All are on in production.
-  bool waitForGrants = true;   ///< the runs of a silent agent end only after its lease has expired
-  bool inheritGrants = true;   ///< a new leader assumes that the former one granted leases until the new one began
-  bool withholdEnding = true;  ///< a run whose end is about to be committed gets no start order
-  bool doubtReports = true;    ///< a delayed report neither ends runs nor displaces a newer incarnation of its agent
+  bool waitForLeases = true;       ///< the runs of a silent agent end only after its lease has expired
+  bool inheritLeases = true;       ///< a new leader assumes that the former one granted leases until the new one began
+  bool withholdEndingRuns = true;  ///< a run whose end is about to be committed gets no start order
+  bool rejectStaleReports =
+      true;  ///< a delayed report neither ends runs nor displaces a newer incarnation of its agent
 };
 
 /** \class RunTrack
@@ -56,7 +57,7 @@
   std::string agent;
   std::string target;
   bool confirmed = false;  ///< the start is known to have been carried out
-  bool stopWanted = false;
+  bool stopRequested = false;
   bool endProposed = false;          ///< the end of the run was handed over to be committed
   bool inherited = false;            ///< a former leader may have ordered the start
   std::uint64_t firstOrderedTo = 0;  ///< incarnation of the agent that got the first start order; 0 if there was none
@@ -65,7 +66,7 @@
   Time startedAt{};                ///< when the start was applied here, or when this leader began to lead
   std::string checkpoint;          ///< newest checkpoint that was reported
   std::uint32_t percent = 0;       ///< newest reported progress
-  std::uint32_t stillMs = 0;       ///< time without progress at the last sight, by the agent's clock
+  std::uint32_t noProgressMs = 0;  ///< time without progress at the last sight, by the agent's clock
   Time percentChanged{};           ///< when the run was first seen at this percentage; startedAt until it has changed
   std::uint32_t firstPercent = 0;  ///< progress when the run was first seen
   Time firstSeen{};                ///< when the run was first seen at its target; zero if never
@@ -83,7 +84,7 @@
   std::uint64_t version = 0;   ///< version of the target's description; 0 if every report contains the description
   std::uint32_t relay = 0;     ///< number under which the agent relays calls; 0 if it does not relay
   bool relayed = false;        ///< the newest report came through another node
-  Time grantUntil{};           ///< end of the latest lease
+  Time leaseUntil{};           ///< end of the latest lease
   Time firstTargetReport{};    ///< when the agent first named a target; zero if it has not yet
   Time lastContact{};          ///< last contact with the agent
   Time lastReachable{};        ///< when the target was last reachable; initially the time of the first report
@@ -145,27 +146,27 @@
   /** Applies an agent's report. Of a report that is not current or was overtaken it records only the contact with that
    * incarnation of the agent. \returns ends to commit; the target may be allowed to forget its ends only after the
    * commit */
-  std::vector<schema::RunEnd> takeReport(const schema::AttendRequest& report, Time now);
+  std::vector<schema::RunEnd> receiveReport(const schema::AttendRequest& report, Time now);
   /** \returns ends of runs whose leases have all expired. */
   std::vector<schema::RunEnd> expire(Time now);
   /** Grants an agent a lease for its runs, beginning now. \returns the length of the lease. It is limited to
-   * leavingGrant while the target drains, since an agent that leaves together with its target sends no final report. It
+   * leavingLease while the target drains, since an agent that leaves together with its target sends no final report. It
    * is zero while the agent reports no target, since runs would never lapse otherwise. */
   Duration grant(const std::string& agent, Time now);
   /** \returns the orders that are due for an agent, and records them as sent. */
-  std::vector<schema::RunOrder> takeOrders(const std::string& agent, const WorkflowTable& table, Time now);
+  std::vector<schema::RunOrder> issueOrders(const std::string& agent, const WorkflowTable& table, Time now);
   /** \returns whether starts or stops of active runs are due for an agent. Stops of stray runs do not count. */
-  bool hasOrders(const std::string& agent, const WorkflowTable& table, Time now) const;
+  bool hasDueOrders(const std::string& agent, const WorkflowTable& table, Time now) const;
   /** \returns whether a run was seen for at least StartPhase. \param members size of the run's gang, which is measured
    * from the time at which all members had been seen, since it works only then; 1 for a single task */
   bool lived(const RunKey& key, std::uint32_t members) const;
   /** Requests that a run be stopped. \returns its agent, or an empty string if the run is not active */
-  std::string wantStop(const RunKey& key);
+  std::string requestStop(const RunKey& key);
 
   const std::map<RunKey, RunTrack>& runs() const { return m_runs; }
   const std::map<std::string, TargetTrack>& targets() const { return m_targets; }
   /** \returns how long an agent may delay a report without changes, so that all agents together send about
-   * reportsEachSecond. It is always shorter than the time for which an agent may be silent. */
+   * reportsPerSecond. It is always shorter than the time for which an agent may be silent. */
   Duration reportWait() const;
   /** \returns a number that increases whenever a target is added or its description changes: incarnation, service,
    * rack, data hall, labels or capacity. */
@@ -225,10 +226,10 @@
 
 /** \returns whether the loss of a target has a cause outside of a workflow that ran there. \param others number of
  * targets that were lost at about the same time and ran nothing of that workflow */
-bool speaksForOthers(std::size_t others);
+bool hasExternalCause(std::size_t others);
 
 /** \returns the length of a lease of an agent: at least run_grant_ms, and at least an outage (outage_s, if set) plus
  * the time for an election. */
-Duration grantLength(const schema::ControlSettings& settings);
+Duration leaseLength(const schema::ControlSettings& settings);
 
 }  // namespace courseloom
--- a/Courseloom/src/Scheduling/RunLedgerCrashes.cpp
+++ b/Courseloom/src/Scheduling/RunLedgerCrashes.cpp
@@ -21,7 +21,7 @@
 }  // namespace
 }  // namespace internal
 
-bool speaksForOthers(std::size_t others) { return others >= internal::MinOthersLost; }
+bool hasExternalCause(std::size_t others) { return others >= internal::MinOthersLost; }
 
 void RunLedger::recordTargetLoss(const std::string& agent, TargetTrack& target, Time now) {
   const auto [first, last] = m_losses.equal_range(target.lostSince);
@@ -43,7 +43,7 @@
   const auto last = m_losses.upper_bound(since + internal::CommonLossWindow);
   for (auto loss = m_losses.lower_bound(since - internal::CommonLossWindow); loss != last; ++loss) {
     if (m_targets.at(loss->second).workflowsAtLoss.count(workflow) == 0) ++others;
-    if (speaksForOthers(others)) return true;
+    if (hasExternalCause(others)) return true;
   }
   return false;
 }
--- a/Courseloom/src/Scheduling/RunPace.cpp
+++ b/Courseloom/src/Scheduling/RunPace.cpp
@@ -27,15 +27,15 @@
   return longest;
 }
 
-std::optional<double> wholeByPaceMs(const RunTrack& track) {
+std::optional<double> durationFromProgressMs(const RunTrack& track) {
   const bool seen = track.firstSeen != Time{} && track.percent >= track.firstPercent + internal::MinObservedPercent;
   const double elapsedMs = toMilliseconds(track.percentChanged - track.firstSeen);
   if (!seen || elapsedMs <= 0.0) return std::nullopt;
   return internal::WholePercent * elapsedMs / (track.percent - track.firstPercent);
 }
 
-std::optional<double> remainingByPaceMs(const RunTrack& track, Time now) {
-  const std::optional<double> durationMs = wholeByPaceMs(track);
+std::optional<double> remainingFromProgressMs(const RunTrack& track, Time now) {
+  const std::optional<double> durationMs = durationFromProgressMs(track);
   if (!durationMs) return std::nullopt;
   const double leftMs = *durationMs * (internal::WholePercent - track.percent) / internal::WholePercent;
   return std::max(0.0, leftMs - toMilliseconds(now - track.percentChanged));
--- a/Courseloom/src/Scheduling/RunPace.h
+++ b/Courseloom/src/Scheduling/RunPace.h
@@ -19,10 +19,10 @@
 
 /** \returns the duration of a run's task from 0 % to 100 %, ms, extrapolated from the run's own progress; nothing while
  * too little progress was observed. */
-std::optional<double> wholeByPaceMs(const RunTrack& track);
+std::optional<double> durationFromProgressMs(const RunTrack& track);
 
 /** \returns the remaining time of a run, ms, extrapolated from its own progress; nothing while too little progress was
  * observed. Never negative. */
-std::optional<double> remainingByPaceMs(const RunTrack& track, Time now);
+std::optional<double> remainingFromProgressMs(const RunTrack& track, Time now);
 
 }  // namespace courseloom
--- a/Courseloom/src/Scheduling/Scheduler.cpp
+++ b/Courseloom/src/Scheduling/Scheduler.cpp
@@ -73,7 +73,7 @@
   m_book.setGuarantees(std::move(next));
 }
 
-void Scheduler::setHeld(std::set<std::string> workspaces, std::set<std::string> services) {
+void Scheduler::setBlocked(std::set<std::string> workspaces, std::set<std::string> services) {
   m_blockedWorkspaces = std::move(workspaces);
   m_blockedServices = std::move(services);
 }
@@ -345,9 +345,11 @@
   return found->second.why.empty() ? "the job has just arrived" : found->second.why;
 }
 
-bool Scheduler::everFits(const schema::Shape& shape) const { return !m_search.find(shape, m_topology.total()).empty(); }
+bool Scheduler::fitsEmptyCluster(const schema::Shape& shape) const {
+  return !m_search.find(shape, m_topology.total()).empty();
+}
 
-std::optional<std::string> Scheduler::refusesGuarantees(const std::vector<schema::Object>& guarantees) const {
+std::optional<std::string> Scheduler::guaranteeConflict(const std::vector<schema::Object>& guarantees) const {
   GuaranteeBook trial(m_topology);
   std::vector<Guarantee> required;
   for (const schema::Object& object : guarantees) {
--- a/Courseloom/src/Scheduling/Scheduler.h
+++ b/Courseloom/src/Scheduling/Scheduler.h
@@ -69,7 +69,7 @@
   /** Replaces the guarantees by those of the configuration. */
   void setGuarantees(const std::vector<schema::Object>& guarantees);
   /** Sets the workspaces and services that are paused or draining, in which no job may start. */
-  void setHeld(std::set<std::string> workspaces, std::set<std::string> services);
+  void setBlocked(std::set<std::string> workspaces, std::set<std::string> services);
   /** Applies the newest state of a job. Removes the job if it has ended. */
   void updateJob(const schema::Job& job);
 
@@ -82,9 +82,9 @@
   /** \returns the reason why a job waits, in words. */
   std::string why(const std::string& job) const;
   /** \returns nothing if all of a new set of guarantees could be held by the empty cluster, or the reason if not. */
-  std::optional<std::string> refusesGuarantees(const std::vector<schema::Object>& guarantees) const;
+  std::optional<std::string> guaranteeConflict(const std::vector<schema::Object>& guarantees) const;
   /** \returns whether the empty cluster could hold a shape. */
-  bool everFits(const schema::Shape& shape) const;
+  bool fitsEmptyCluster(const schema::Shape& shape) const;
   std::vector<schema::GuaranteeStatus> guaranteeStatus() const;
   const GuaranteeBook& guarantees() const { return m_book; }
   const Topology& topology() const { return m_topology; }
--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -27,7 +27,7 @@
 /** What one number of agents came to. */
 struct FleetRow {
   std::size_t agents = 0;
-  double reportsEachSecond = 0.0;
+  double reportsPerSecond = 0.0;
   double kbEachSecond = 0.0;  ///< messages only, both ways
   double cpuPercent = 0.0;    ///< of one core, the leader
   double leaderMb = 0.0;
@@ -79,7 +79,7 @@
   const std::size_t bytes = crowd.bytes();
   std::this_thread::sleep_for(std::chrono::seconds(seconds));
   const ProcessUsage after = usageOf(pidOf(leader));
-  row.reportsEachSecond = static_cast<double>(crowd.reports() - reports) / seconds;
+  row.reportsPerSecond = static_cast<double>(crowd.reports() - reports) / seconds;
   row.kbEachSecond = static_cast<double>(crowd.bytes() - bytes) / 1000.0 / seconds;
   row.cpuPercent = (after.cpuSeconds - before.cpuSeconds) / seconds * 100.0;
   row.leaderMb = after.residentMb;
@@ -96,7 +96,7 @@
   std::printf("%8s %10s %8s %8s %10s %12s %8s %10s %10s\n", "agents", "reports/s", "KB/s", "cpu %", "leader MB",
               "follower MB", "plan ms", "elected ms", "heard ms");
   for (const FleetRow& row : rows) {
-    std::printf("%8zu %10.0f %8.0f %8.1f %10.1f %12.1f %8.2f %10.0f %10.0f\n", row.agents, row.reportsEachSecond,
+    std::printf("%8zu %10.0f %8.0f %8.1f %10.1f %12.1f %8.2f %10.0f %10.0f\n", row.agents, row.reportsPerSecond,
                 row.kbEachSecond, row.cpuPercent, row.leaderMb, row.followerMb, row.planMs, row.electedMs, row.heardMs);
   }
 }
@@ -107,7 +107,7 @@
     std::printf(
         "%s{\"agents\":%zu,\"reportsEachSecond\":%.0f,\"kbEachSecond\":%.0f,\"cpuPercent\":%.1f,"
         "\"leaderMb\":%.1f,\"followerMb\":%.1f,\"planMs\":%.2f,\"electedMs\":%.0f,\"heardMs\":%.0f}",
-        &row == &rows.front() ? "" : ",", row.agents, row.reportsEachSecond, row.kbEachSecond, row.cpuPercent,
+        &row == &rows.front() ? "" : ",", row.agents, row.reportsPerSecond, row.kbEachSecond, row.cpuPercent,
         row.leaderMb, row.followerMb, row.planMs, row.electedMs, row.heardMs);
   }
   std::printf("]\n");
--- a/test/LoadReplay.cpp
+++ b/test/LoadReplay.cpp
@@ -238,7 +238,7 @@
   }
   const auto others =
       std::count_if(together.begin(), together.end(), [&same](std::size_t target) { return same.count(target) == 0; });
-  return speaksForOthers(static_cast<std::size_t>(others));
+  return hasExternalCause(static_cast<std::size_t>(others));
 }
 
 /** \param together targets that crash now, this one among them */
--- a/test/objective.cpp
+++ b/test/objective.cpp
@@ -83,17 +83,18 @@
 Test(objective, a_runs_own_pace_tells_when_it_ends) {
   RunTrack track;
   const Time begin{milliseconds(1000000)};
-  cr_assert_not(remainingByPaceMs(track, begin).has_value());
+  cr_assert_not(remainingFromProgressMs(track, begin).has_value());
   track.firstSeen = begin;
   track.firstPercent = 20;
   track.percent = 25;
   track.percentChanged = begin + milliseconds(100);
-  cr_assert_not(remainingByPaceMs(track, begin + milliseconds(100)).has_value(), "too little was seen");
+  cr_assert_not(remainingFromProgressMs(track, begin + milliseconds(100)).has_value(), "too little was seen");
   track.percent = 60;
   track.percentChanged = begin + milliseconds(1000);
-  cr_assert_float_eq(*remainingByPaceMs(track, begin + milliseconds(1000)), 1000.0, 1.0);
-  cr_assert_float_eq(*remainingByPaceMs(track, begin + milliseconds(1400)), 600.0, 1.0, "it goes on while unseen");
-  cr_assert_eq(*remainingByPaceMs(track, begin + milliseconds(9000)), 0.0);
+  cr_assert_float_eq(*remainingFromProgressMs(track, begin + milliseconds(1000)), 1000.0, 1.0);
+  cr_assert_float_eq(*remainingFromProgressMs(track, begin + milliseconds(1400)), 600.0, 1.0,
+                     "it goes on while unseen");
+  cr_assert_eq(*remainingFromProgressMs(track, begin + milliseconds(9000)), 0.0);
 }
 
 // A target that goes before the slowest member of a gang is done breaks the gang, however far its own member is.
--- a/test/run_agent_fates.cpp
+++ b/test/run_agent_fates.cpp
@@ -130,11 +130,11 @@
   Awaitable<Result<schema::AttendReply>> attend(schema::AttendRequest request) override {
     const Time now = BootClock::now();
     if (m_ledger.isOvertaken(request)) co_return fail(Failure{FailureCode::Fenced, Ran::No, "test", "", "", 0});
-    take(m_ledger.takeReport(request, now));
+    take(m_ledger.receiveReport(request, now));
     schema::AttendReply answer;
     answer.set_term(1);
     if (!m_ledger.isCurrent(request)) co_return answer;
-    for (schema::RunOrder& order : m_ledger.takeOrders("agent", m_table, now)) *answer.add_orders() = std::move(order);
+    for (schema::RunOrder& order : m_ledger.issueOrders("agent", m_table, now)) *answer.add_orders() = std::move(order);
     answer.set_grant_ms(static_cast<std::uint32_t>(toMilliseconds(m_ledger.grant("agent", now))));
     co_await sleepFor(milliseconds(answer.orders_size() > 0 ? 750 : 20));
     co_return answer;
@@ -147,7 +147,7 @@
     RunLedgerOptions options;
     options.grant = milliseconds(1500);
     options.slack = milliseconds(100);
-    options.redeliverAfter = milliseconds(250);
+    options.retryOrdersAfter = milliseconds(250);
     return options;
   }
   void commit(const schema::RecordRuns& runs) {
--- a/test/run_agent_rebirth.cpp
+++ b/test/run_agent_rebirth.cpp
@@ -66,12 +66,12 @@
     if (m_ledger.isOvertaken(request)) co_return fail(Failure{FailureCode::Fenced, Ran::No, "test", "", "", 0});
     schema::AttendReply answer;
     answer.set_term(m_term);
-    commit(m_ledger.takeReport(request, now), {});
+    commit(m_ledger.receiveReport(request, now), {});
     if (!m_ledger.isCurrent(request)) co_return answer;
     note(request.target());
     commit(m_ledger.expire(now), {});
     place(now);
-    for (schema::RunOrder& order : m_ledger.takeOrders("agent", m_table, now)) *answer.add_orders() = std::move(order);
+    for (schema::RunOrder& order : m_ledger.issueOrders("agent", m_table, now)) *answer.add_orders() = std::move(order);
     answer.set_grant_ms(static_cast<std::uint32_t>(toMilliseconds(m_ledger.grant("agent", now))));
     answer.set_ends_target(request.target().id());
     for (const schema::EndReport& row : request.ends()) {
@@ -91,7 +91,7 @@
     RunLedgerOptions options;
     options.grant = milliseconds(1500);
     options.slack = milliseconds(100);
-    options.redeliverAfter = milliseconds(250);
+    options.retryOrdersAfter = milliseconds(250);
     return options;
   }
   void note(const schema::TargetReport& report) {
--- a/test/run_ledger.cpp
+++ b/test/run_ledger.cpp
@@ -55,8 +55,8 @@
     return request;
   }
   std::vector<schema::RunOrder> attend(const schema::AttendRequest& request) {
-    commitEnds(ledger.takeReport(request, now));
-    std::vector<schema::RunOrder> orders = ledger.takeOrders("agent", table, now);
+    commitEnds(ledger.receiveReport(request, now));
+    std::vector<schema::RunOrder> orders = ledger.issueOrders("agent", table, now);
     grantedUntil = std::max(grantedUntil, now + ledger.grant("agent", now));
     return orders;
   }
@@ -115,14 +115,14 @@
   test.start(1, 1);
   test.incarnation = 2;
   cr_assert(test.attend(test.report("")).empty());
-  cr_assert_not(test.ledger.hasOrders("agent", test.table, test.now));
+  cr_assert_not(test.ledger.hasDueOrders("agent", test.table, test.now));
   const std::vector<schema::RunOrder> starts = test.attend(withRunning(test.report(), 1, 1));
   cr_assert_eq(starts.size(), 1);
   cr_assert_eq(starts[0].kind(), schema::OrderStart);
   test.table.cancel("w", 5);
   test.incarnation = 3;
   cr_assert(test.attend(test.report("")).empty());
-  cr_assert_not(test.ledger.hasOrders("agent", test.table, test.now));
+  cr_assert_not(test.ledger.hasDueOrders("agent", test.table, test.now));
   const std::vector<schema::RunOrder> stops = test.attend(withRunning(test.report(), 1, 1));
   cr_assert_eq(stops.size(), 2);
   cr_assert_eq(stops[0].kind(), schema::OrderStop);
@@ -188,12 +188,12 @@
 Test(run_ledger, a_grant_outlasts_the_outage_that_the_settings_name) {
   schema::ControlSettings settings;
   settings.set_run_grant_ms(5500);
-  cr_assert(grantLength(settings) == milliseconds(5500));
+  cr_assert(leaseLength(settings) == milliseconds(5500));
   settings.set_outage_s(12);
-  cr_assert(grantLength(settings) == milliseconds(14000),
+  cr_assert(leaseLength(settings) == milliseconds(14000),
             "runs go on while nobody leads, and until somebody does again");
   settings.set_run_grant_ms(20000);
-  cr_assert(grantLength(settings) == milliseconds(20000), "never shorter than asked for");
+  cr_assert(leaseLength(settings) == milliseconds(20000), "never shorter than asked for");
 }
 
 Test(run_ledger, an_agent_that_was_not_heard_lately_gets_nothing_new_although_its_grant_is_long) {
@@ -337,7 +337,7 @@
     report.set_relay(relay);
     report.set_relayed(relayed);
     report.mutable_target()->set_data_hall(hall);
-    test.ledger.takeReport(report, test.now);
+    test.ledger.receiveReport(report, test.now);
   };
   hear("a", 1, "hall-1", false);
   hear("b", 2, "hall-1", false);
@@ -407,7 +407,7 @@
   test.start(0, 1);
   test.attend(withRunning(test.report(), 0, 1));
   test.table.cancel("w", 5);
-  cr_assert(test.ledger.hasOrders("agent", test.table, test.now));
+  cr_assert(test.ledger.hasDueOrders("agent", test.table, test.now));
   const std::vector<schema::RunOrder> orders = test.attend(withRunning(test.report(), 0, 1));
   cr_assert_eq(orders.size(), 1);
   cr_assert_eq(orders[0].kind(), schema::OrderStop);
@@ -597,7 +597,7 @@
   test.pass(1000);
   test.ledger.lead(test.table, test.now, 2);
   cr_assert_not(test.ledger.isOvertaken(late));
-  cr_assert(test.ledger.takeReport(late, test.now).empty(), "the run goes on under the next agent");
+  cr_assert(test.ledger.receiveReport(late, test.now).empty(), "the run goes on under the next agent");
 }
 
 // A new leader knows no former agents, so the late report of one looks like the word of a restarted agent.
@@ -637,7 +637,7 @@
   test.attend(test.report());
   test.start(0, 1);
   test.attend(test.report());
-  test.commitEnds(test.ledger.takeReport(withLost(test.report("life-2"), 1, schema::CrashAtStart, 120), test.now));
+  test.commitEnds(test.ledger.receiveReport(withLost(test.report("life-2"), 1, schema::CrashAtStart, 120), test.now));
   const std::vector<schema::TargetCrash>& crashes = test.table.find("w")->task({0, 0, 0})->crashes.crashes();
   cr_assert_eq(crashes.size(), 1);
   cr_assert_eq(crashes[0].kind(), schema::CrashAtStart);
@@ -705,7 +705,7 @@
         schema::AttendRequest report = test.report(std::string("life-") + name);
         report.set_agent(name);
         report.mutable_target()->set_reachable(reachable);
-        test.ledger.takeReport(report, test.now);
+        test.ledger.receiveReport(report, test.now);
       }
     };
     test.attend(test.report());
@@ -729,7 +729,7 @@
     schema::AttendRequest request = test.report("life-of-" + std::to_string(number));
     request.set_agent("other-" + std::to_string(number));
     request.mutable_target()->set_reachable(reachable);
-    test.commitEnds(test.ledger.takeReport(request, test.now));
+    test.commitEnds(test.ledger.receiveReport(request, test.now));
   };
   test.attend(test.report());
   for (unsigned i = 1; i <= Fleet; ++i) report(i, true);
@@ -787,13 +787,13 @@
   for (unsigned i = 1; i <= 100; ++i) {
     schema::AttendRequest request = test.report("");
     request.set_agent("other-" + std::to_string(i));
-    test.ledger.takeReport(request, test.now);
+    test.ledger.receiveReport(request, test.now);
   }
   test.pass(3000);
   const auto arrive = [&test](unsigned number) {
     schema::AttendRequest request = test.report("life-of-" + std::to_string(number));
     request.set_agent("other-" + std::to_string(number));
-    test.ledger.takeReport(request, test.now);
+    test.ledger.receiveReport(request, test.now);
   };
   for (unsigned i = 1; i <= 100; ++i) {
     arrive(i);
--- a/test/run_ledger_seeded.cpp
+++ b/test/run_ledger_seeded.cpp
@@ -72,7 +72,7 @@
       : m_random(seed), m_options(options), m_mechanisms(mechanisms), m_crashing(crashing) {
     m_options.grant = Grant;
     m_options.slack = milliseconds(100);
-    m_options.redeliverAfter = milliseconds(300);
+    m_options.retryOrdersAfter = milliseconds(300);
     m_agents.resize(Targets);
     for (std::size_t i = 0; i < Targets; ++i) newLife(i, false);
     for (unsigned i = 0; i < Workflows; ++i) {
@@ -106,7 +106,7 @@
     std::uint64_t term = 0;  ///< of the newest leader that has answered
     std::uint64_t step = 0;  ///< of its tokens
     std::uint64_t endsTaken = 0;
-    Time grantUntil{};
+    Time leaseUntil{};
     Time heldUntil{};
     bool cut = false;
     bool found = true;                        ///< its target has announced itself
@@ -124,7 +124,7 @@
     std::size_t agent = 0;
     std::uint64_t incarnation = 0;
     std::uint64_t term = 0;
-    Time grantUntil{};
+    Time leaseUntil{};
     std::vector<schema::EndReport> ends;  ///< of the request
     std::vector<schema::LostRun> lost;    ///< of the request
     std::string endsTarget;
@@ -240,7 +240,7 @@
     agent.reported = ReportedTarget();
     agent.sequence = 0;
     agent.term = 0;
-    agent.grantUntil = Time{};
+    agent.leaseUntil = Time{};
     agent.seenEnds.clear();
     agent.inDoubt.clear();
     agent.known.clear();
@@ -382,10 +382,10 @@
   void workOff(std::size_t i) {
     Agent& agent = m_agents[i];
     if (!finds(agent)) return;
-    const bool granted = m_now < agent.grantUntil;
+    const bool granted = m_now < agent.leaseUntil;
     if (granted && !agent.target.silent) {
-      agent.heldUntil = std::max(agent.heldUntil, agent.grantUntil);
-      if (!refuses(agent.target)) agent.target.heldUntil = std::max(agent.target.heldUntil, agent.grantUntil);
+      agent.heldUntil = std::max(agent.heldUntil, agent.leaseUntil);
+      if (!refuses(agent.target)) agent.target.heldUntil = std::max(agent.target.heldUntil, agent.leaseUntil);
     }
     if (!agent.target.silent && chance(0.3) && !refuses(agent.target)) agent.seenEnds = agent.target.ends;
     if (agent.target.silent && m_now > agent.heldUntil + milliseconds(50)) {
@@ -461,7 +461,7 @@
       return;
     }
     m_shortReports += whole ? 0 : 1;
-    commit(m_ledger->takeReport(request, m_now), {});
+    commit(m_ledger->receiveReport(request, m_now), {});
     if (!m_ledger->isCurrent(request)) {
       if (m_faults && chance(0.1)) return;  // the reply is lost
       agent.term = m_term;
@@ -480,8 +480,8 @@
     reply.endsTarget = request.target().id();
     reply.report.set_term(request.term());
     reply.report.set_target_version(request.target_version());
-    reply.orders = m_ledger->takeOrders(request.agent(), m_table, m_now);
-    reply.grantUntil = m_now + m_ledger->grant(request.agent(), m_now);
+    reply.orders = m_ledger->issueOrders(request.agent(), m_table, m_now);
+    reply.leaseUntil = m_now + m_ledger->grant(request.agent(), m_now);
     if (m_faults && chance(0.1)) return;  // the reply is lost
     if (!m_faults || !chance(0.3)) return takeReply(reply);
     reply.at = m_now + upTo(1500);
@@ -505,7 +505,7 @@
     Agent& agent = m_agents[reply.agent];
     if (reply.term < agent.term) return;  // a former leader's word
     agent.term = reply.term;
-    agent.grantUntil = std::max(agent.grantUntil, reply.grantUntil);
+    agent.leaseUntil = std::max(agent.leaseUntil, reply.leaseUntil);
     schema::AttendReply taken;
     taken.set_term(reply.term);
     taken.set_target_version(reply.report.target_version());
@@ -517,7 +517,7 @@
     if (agent.found && reply.endsTarget == agent.target.life) {
       for (const schema::EndReport& end : reply.ends) noteEnd(agent, end);
     }
-    if (m_now >= reply.grantUntil) return;
+    if (m_now >= reply.leaseUntil) return;
     for (const schema::RunOrder& order : reply.orders) takeOrder(reply.agent, order);
   }
 
@@ -532,7 +532,7 @@
       m_delayed.erase(m_delayed.begin() + static_cast<std::ptrdiff_t>(i));
       if (m_ledger->isOvertaken(request)) continue;
       if (m_ledger->isCurrent(request) && !m_ledger->complete(request)) continue;  // its agent is asked for all of it
-      commit(m_ledger->takeReport(request, m_now), {});
+      commit(m_ledger->receiveReport(request, m_now), {});
       m_ledger->grant(request.agent(), m_now);
     }
   }
@@ -575,7 +575,7 @@
     }
     agent.known[key] = true;
     agent.orderedAt[key] = m_now;
-    const Time deadline = agent.grantUntil;
+    const Time deadline = agent.leaseUntil;
     agent.heldUntil = std::max(agent.heldUntil, deadline);
     const CallAnswer answer = call(i, [this, key, deadline](ModelTarget& target) { startOn(target, key, deadline); });
     if (answer != CallAnswer::Done) agent.inDoubt[key] = false;
@@ -682,19 +682,19 @@
 
 Test(run_ledger_seeded, fails_if_a_silent_agents_grant_is_not_waited_for) {
   RunLedgerOptions options;
-  options.waitForGrants = false;
+  options.waitForLeases = false;
   cr_assert_not(firstViolation(100, options).empty());
 }
 
 Test(run_ledger_seeded, fails_if_a_new_leader_forgets_former_grants) {
   RunLedgerOptions options;
-  options.inheritGrants = false;
+  options.inheritLeases = false;
   cr_assert_not(firstViolation(400, options).empty());
 }
 
 Test(run_ledger_seeded, fails_if_a_start_is_ordered_while_its_end_is_being_committed) {
   RunLedgerOptions options;
-  options.withholdEnding = false;
+  options.withholdEndingRuns = false;
   cr_assert_not(firstViolation(400, options).empty());
 }
 
@@ -742,6 +742,6 @@
 
 Test(run_ledger_seeded, fails_if_reports_that_were_long_on_their_way_are_believed) {
   RunLedgerOptions options;
-  options.doubtReports = false;
+  options.rejectStaleReports = false;
   cr_assert_not(firstViolation(100, options).empty());
 }
--- a/test/short_reports.cpp
+++ b/test/short_reports.cpp
@@ -44,7 +44,7 @@
   for (std::size_t i = 0; i < agents; ++i) {
     schema::AttendRequest report = reportOf("agent-" + std::to_string(i), 1);
     *report.mutable_target() = described();
-    ledger.takeReport(report, Now);
+    ledger.receiveReport(report, Now);
   }
   return ledger;
 }
@@ -123,7 +123,7 @@
   schema::AttendRequest whole = reportOf("agent", 1);
   whole.set_target_version(7);
   *whole.mutable_target() = described();
-  ledger.takeReport(whole, Now);
+  ledger.receiveReport(whole, Now);
   schema::AttendRequest fits = reportOf("agent", 2);
   fits.set_target_version(7);
   cr_assert(ledger.complete(fits));
