--- a/Courseloom/src/Control/JobRunner.cpp
+++ b/Courseloom/src/Control/JobRunner.cpp
@@ -90,7 +90,7 @@
     m_reloadWanted = false;
     for (const auto& [id, job] : m_driver.state().jobs()) m_scheduler.updateJob(job);
   }
-  for (const std::string& id : m_driver.takeChangedJobs()) {
+  for (const std::string& id : m_driver.consumeChangedJobs()) {
     if (const schema::Job* job = m_driver.state().job(id)) m_scheduler.updateJob(*job);
   }
 }
--- a/Courseloom/src/Control/ReplicaDriver.h
+++ b/Courseloom/src/Control/ReplicaDriver.h
@@ -63,9 +63,9 @@
   /** \returns the state after the last applied command. */
   const ClusterState& state() const { return m_state; }
   /** \returns jobs that were changed since the last call. */
-  std::set<std::string> takeChangedJobs() { return m_state.takeChangedJobs(); }
+  std::set<std::string> consumeChangedJobs() { return m_state.consumeChangedJobs(); }
   /** \returns starts and ends of runs that were applied since the last call. */
-  std::vector<RunChange> takeRunChanges() { return m_state.workflows().takeRunChanges(); }
+  std::vector<RunChange> consumeRunChanges() { return m_state.workflows().consumeRunChanges(); }
   /** \returns workflows that ended since the last call; some may still have active runs. */
   std::vector<std::string> consumeEndedWorkflows() { return m_state.workflows().takeEnded(); }
   /** \returns whether this replica leads now, so that its state may be read. */
--- a/Courseloom/src/Control/AdviceBook.cpp
+++ b/Courseloom/src/Control/TicketCache.cpp
@@ -1,7 +1,7 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-#include "Courseloom/src/Control/AdviceBook.h"
+#include "Courseloom/src/Control/TicketCache.h"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -23,8 +23,8 @@
 }  // namespace
 }  // namespace internal
 
-std::map<std::string, std::string> AdviceBook::ticketsFor(const StepName& name, const schema::AdvicePolicy& policy,
-                                                          const std::vector<std::string>& targets) {
+std::map<std::string, std::string> TicketCache::ticketsFor(const StepName& name, const schema::AdvicePolicy& policy,
+                                                           const std::vector<std::string>& targets) {
   StepTickets& held = m_stepTickets[name];
   if (BootClock::now() >= held.until) {
     held.tickets.clear();
@@ -44,8 +44,8 @@
   return held.tickets;
 }
 
-Awaitable<void> AdviceBook::requestTickets(StepName name, std::vector<std::string> targets, Duration validity,
-                                           std::uint64_t requestId) {
+Awaitable<void> TicketCache::requestTickets(StepName name, std::vector<std::string> targets, Duration validity,
+                                            std::uint64_t requestId) {
   const Time requestedAt = BootClock::now();
   const schema::TaskId step = makeTaskId(name.first, {name.second.occurrence, name.second.step, 0});
   Result<std::vector<Ticket>> tickets = co_await m_port->advise(step, targets, internal::AdviceLimit);
--- a/Courseloom/src/Control/AdviceBook.h
+++ b/Courseloom/src/Control/TicketCache.h
@@ -35,17 +35,17 @@
                                                         Duration limit) = 0;
 };
 
-/** \class AdviceBook
+/** \class TicketCache
  * \brief The leader's tickets for steps, and the pending requests for them. Until a step's tickets expire, each target
  * is requested once.
  */
-class AdviceBook {
+class TicketCache {
  public:
   using StepName = std::pair<std::string, StepKey>;  ///< workflow and step
 
   /** \param port advice service; if null, no step needs a ticket \param onAnswer called on the strand after each answer
    * or failure of the advice service */
-  AdviceBook(ControlStrand strand, std::unique_ptr<AdvicePort> port, std::function<void()> onAnswer)
+  TicketCache(ControlStrand strand, std::unique_ptr<AdvicePort> port, std::function<void()> onAnswer)
       : m_strand(std::move(strand)), m_port(std::move(port)), m_onAnswer(std::move(onAnswer)) {}
 
   /** Discards all tickets and ignores the answers to pending requests. */
--- a/Courseloom/src/Control/WorkflowRunner.cpp
+++ b/Courseloom/src/Control/WorkflowRunner.cpp
@@ -108,7 +108,7 @@
 
 void WorkflowRunner::onApplied() {
   applyHallDrains();
-  const std::vector<RunChange> changes = m_driver.takeRunChanges();
+  const std::vector<RunChange> changes = m_driver.consumeRunChanges();
   const std::vector<std::string> ended = m_driver.consumeEndedWorkflows();
   if (!m_leads) return;
   m_ledger.apply(changes, BootClock::now(), m_changesInherited);
--- a/Courseloom/src/Control/WorkflowRunner.h
+++ b/Courseloom/src/Control/WorkflowRunner.h
@@ -8,8 +8,8 @@
 #include <set>
 #include <string>
 
-#include "Courseloom/src/Control/AdviceBook.h"
 #include "Courseloom/src/Control/ReplicaDriver.h"
+#include "Courseloom/src/Control/TicketCache.h"
 #include "Courseloom/src/Membership/RelayDirectory.h"
 #include "Courseloom/src/Runtime/ChangeSignal.h"
 #include "Courseloom/src/Scheduling/RunPace.h"
@@ -77,7 +77,7 @@
   void setMembersSource(std::function<std::vector<ReplicaId>()> source) { m_membersSource = std::move(source); }
 
  private:
-  using StepName = AdviceBook::StepName;
+  using StepName = TicketCache::StepName;
 
   Awaitable<void> tickLoop();
   Awaitable<void> planLoop();
@@ -149,7 +149,7 @@
   DaemonContext m_context;
   ControlStrand m_strand;
   ReplicaDriver& m_driver;
-  AdviceBook m_advice;
+  TicketCache m_advice;
   RunLedger m_ledger;
   RelayDirectory m_relays;  ///< updated at each tick
   RunPlanner m_planner;
--- a/Courseloom/src/State/ClusterState.cpp
+++ b/Courseloom/src/State/ClusterState.cpp
@@ -46,7 +46,7 @@
   return found == m_jobs.end() ? nullptr : &found->second;
 }
 
-std::set<std::string> ClusterState::takeChangedJobs() {
+std::set<std::string> ClusterState::consumeChangedJobs() {
   std::set<std::string> changed = std::move(m_changedJobs);
   m_changedJobs.clear();
   return changed;
--- a/Courseloom/src/State/ClusterState.h
+++ b/Courseloom/src/State/ClusterState.h
@@ -55,7 +55,7 @@
   /** \returns the job, or nullptr if there is none. */
   const schema::Job* job(const std::string& id) const;
   /** \returns the ids of jobs that changed since the last call, for the scheduler, and clears the list. */
-  std::set<std::string> takeChangedJobs();
+  std::set<std::string> consumeChangedJobs();
   /** \returns the lowest lease number that was not granted yet. */
   std::uint64_t nextLease() const { return m_nextLease; }
 
--- a/Courseloom/src/State/WorkflowTable.cpp
+++ b/Courseloom/src/State/WorkflowTable.cpp
@@ -283,7 +283,7 @@
   closeIfFinished(workflow);
 }
 
-std::vector<RunChange> WorkflowTable::takeRunChanges() { return std::exchange(m_runChanges, {}); }
+std::vector<RunChange> WorkflowTable::consumeRunChanges() { return std::exchange(m_runChanges, {}); }
 
 std::vector<std::string> WorkflowTable::takeEnded() { return std::exchange(m_justEnded, {}); }
 
--- a/Courseloom/src/State/WorkflowTable.h
+++ b/Courseloom/src/State/WorkflowTable.h
@@ -151,7 +151,7 @@
   /** \returns the run time estimator, updated from the committed runs. */
   const RunOutlook& outlook() const { return m_outlook; }
   /** \returns the starts and ends of runs that were committed since the last call, in order, and clears the list. */
-  std::vector<RunChange> takeRunChanges();
+  std::vector<RunChange> consumeRunChanges();
   /** \returns the ids of workflows that ended since the last call, and clears the list; some may still have active
    * runs. */
   std::vector<std::string> takeEnded();
@@ -185,7 +185,7 @@
   std::map<std::string, WorkflowState> m_workflows;
   std::set<std::string> m_open;  ///< ids of workflows that have not ended or have active runs
   RunOutlook m_outlook;
-  std::vector<RunChange> m_runChanges;                        ///< since the last call of takeRunChanges()
+  std::vector<RunChange> m_runChanges;                        ///< since the last call of consumeRunChanges()
   std::vector<std::string> m_justEnded;                       ///< ended since the last call of takeEnded()
   std::deque<std::pair<std::uint64_t, std::string>> m_ended;  ///< time of the end and id, oldest first
 };
--- a/test/advice_book.cpp
+++ b/test/advice_book.cpp
@@ -3,7 +3,7 @@
 
 // Tickets whose answers overtake each other.
 
-#include "Courseloom/src/Control/AdviceBook.h"
+#include "Courseloom/src/Control/TicketCache.h"
 
 #include "Courseloom/src/Runtime/OneShot.h"
 #include "test/main.h"
@@ -34,8 +34,8 @@
 // A leader that lost and regained its part asks anew; what it had asked before may still be answered.
 Test(advice_book, an_answer_to_a_forgotten_question_is_not_believed) {
   asio::io_context io;
-  AdviceBook book(asio::make_strand(io), std::make_unique<FakeAdvice>(), [] {});
-  const AdviceBook::StepName step{"w", {0, 0}};
+  TicketCache book(asio::make_strand(io), std::make_unique<FakeAdvice>(), [] {});
+  const TicketCache::StepName step{"w", {0, 0}};
   schema::AdvicePolicy policy;
   policy.set_validity_ms(5000);
   book.ticketsFor(step, policy, {"t"});
--- a/test/run_agent_fates.cpp
+++ b/test/run_agent_fates.cpp
@@ -152,7 +152,7 @@
   }
   void commit(const schema::RecordRuns& runs) {
     m_table.record(runs, 2);
-    m_ledger.apply(m_table.takeRunChanges(), BootClock::now());
+    m_ledger.apply(m_table.consumeRunChanges(), BootClock::now());
   }
   void take(std::vector<schema::RunEnd> ends) {
     if (ends.empty()) return;
--- a/test/run_agent_rebirth.cpp
+++ b/test/run_agent_rebirth.cpp
@@ -126,7 +126,7 @@
   }
   void record(const schema::RecordRuns& runs) {
     m_table.record(runs, 2);
-    m_ledger.apply(m_table.takeRunChanges(), BootClock::now());
+    m_ledger.apply(m_table.consumeRunChanges(), BootClock::now());
   }
 
   WorkflowTable m_table;
--- a/test/run_ledger.cpp
+++ b/test/run_ledger.cpp
@@ -39,7 +39,7 @@
   }
   void commit(const schema::RecordRuns& runs) {
     table.record(runs, 2);
-    ledger.apply(table.takeRunChanges(), now);
+    ledger.apply(table.consumeRunChanges(), now);
   }
   void commitEnds(std::vector<schema::RunEnd> ends) {
     schema::RecordRuns runs;
@@ -690,7 +690,7 @@
     row->mutable_run()->set_target("life-1");
     row->mutable_run()->set_agent("agent");
     test.table.record(runs, 2);
-    test.ledger.apply(test.table.takeRunChanges(), test.now, inherited);
+    test.ledger.apply(test.table.consumeRunChanges(), test.now, inherited);
     test.attend(test.report("life-2"));
     cr_assert_eq(test.table.find("w")->accusedTasks, inherited ? 1 : 0);
   }
--- a/test/run_ledger_seeded.cpp
+++ b/test/run_ledger_seeded.cpp
@@ -254,7 +254,7 @@
     if (m_ledger && chance(0.5)) commit(m_expiring, {});
     m_expiring.clear();
     m_ledger = std::make_unique<RunLedger>(m_options);
-    m_table.takeRunChanges();
+    m_table.consumeRunChanges();
     m_ledger->lead(m_table, m_now, ++m_term);
   }
 
@@ -592,7 +592,7 @@
     }
     for (schema::RunStart& start : starts) *runs.add_starts() = std::move(start);
     m_table.record(runs, 1);
-    m_ledger->apply(m_table.takeRunChanges(), m_now);
+    m_ledger->apply(m_table.consumeRunChanges(), m_now);
   }
 
   void plan() {
