--- a/Courseloom/src/Agent/RunAgentService.cpp
+++ b/Courseloom/src/Agent/RunAgentService.cpp
@@ -46,7 +46,7 @@
 }  // namespace
 }  // namespace internal
 
-RunAgentService::RunAgentService(const DaemonContext& context, RunAgentEdges protocol)
+RunAgentService::RunAgentService(const DaemonContext& context, RunAgentProtocol protocol)
     : m_context(context),
       m_protocol(std::move(protocol)),
       m_strand(asio::make_strand(context.io)),
@@ -157,7 +157,7 @@
     co_return true;
   }
   if (accepted) handleSuccessor(*answer);
-  if (answer && answer->verdict == TargetVerdict::OtherLife) {
+  if (answer && answer->verdict == TargetVerdict::OtherIncarnation) {
     endIncarnation();
     co_return false;
   }
@@ -358,7 +358,7 @@
     co_return;
   }
   const bool refused = answer && answer->verdict == TargetVerdict::Refused && answer->reason != "old";
-  const bool otherLife = answer && answer->verdict == TargetVerdict::OtherLife;
+  const bool otherLife = answer && answer->verdict == TargetVerdict::OtherIncarnation;
   const auto own = m_runs.find(key);
   if (own != m_runs.end()) own->second.neverStarted = refused || otherLife;
   if (otherLife) {
@@ -386,7 +386,7 @@
     Result<TargetAnswer> answer = co_await m_port->stop(incarnation, order.task(), order.run(), token(), limit);
     if (!isOpen(incarnation, key)) co_return;
     if (!answer) recordUnansweredCall();
-    if (answer && answer->verdict == TargetVerdict::OtherLife) {
+    if (answer && answer->verdict == TargetVerdict::OtherIncarnation) {
       endIncarnation();
       co_return;
     }
--- a/Courseloom/src/Agent/RunAgentService.h
+++ b/Courseloom/src/Agent/RunAgentService.h
@@ -22,10 +22,10 @@
 
 namespace courseloom {
 
-/** \class RunAgentEdges
+/** \class RunAgentProtocol
  * \brief The parts of the deployment's protocol that an agent needs, as factories and handlers.
  */
-struct RunAgentEdges {
+struct RunAgentProtocol {
   /** Creates the port through which the agent calls its target. */
   std::function<std::unique_ptr<TargetPort>(const DaemonContext&)> makePort;
   /** Answers a request that the target sends to register, to repeat its registration or to deregister. */
@@ -49,7 +49,7 @@
  */
 class RunAgentService : public Service, private TargetRegistry {
  public:
-  RunAgentService(const DaemonContext& context, RunAgentEdges protocol);
+  RunAgentService(const DaemonContext& context, RunAgentProtocol protocol);
   Result<Listening> start() override;
   Awaitable<std::size_t> stop() override;
   void reload(const schema::Settings& settings) override;
@@ -167,7 +167,7 @@
   }
 
   DaemonContext m_context;
-  RunAgentEdges m_protocol;
+  RunAgentProtocol m_protocol;
   Strand m_strand;
   ControlClient m_control;
   ControlRelay m_relay;
--- a/Courseloom/src/Agent/TargetPort.h
+++ b/Courseloom/src/Agent/TargetPort.h
@@ -14,9 +14,9 @@
 
 /** A target's verdict on a call. */
 enum class TargetVerdict : std::uint8_t {
-  Accepted,   ///< carried out, now or by an earlier copy of the call
-  Refused,    ///< not carried out; this call never will be
-  OtherLife,  ///< the incarnation to which the call was addressed has ended
+  Accepted,          ///< carried out, now or by an earlier copy of the call
+  Refused,           ///< not carried out; this call never will be
+  OtherIncarnation,  ///< the incarnation to which the call was addressed has ended
 };
 
 /** \class TargetStart
--- a/Courseloom/src/Entry/RequestPath.cpp
+++ b/Courseloom/src/Entry/RequestPath.cpp
@@ -209,7 +209,7 @@
   const bool sameEverywhere = failure.code == FailureCode::BadRequest || failure.code == FailureCode::UnknownService ||
                               failure.code == FailureCode::BodyTooLarge ||
                               failure.code == FailureCode::DeadlinePassed || failure.code == FailureCode::Draining;
-  return !sameEverywhere && m_router.takeRetry();
+  return !sameEverywhere && m_router.acquireRetry();
 }
 
 Awaitable<Result<schema::Answer>> RequestPath::runOn(const RequestContext& request, TargetPointer target,
@@ -233,7 +233,7 @@
   Failure failure;
   if (reply) {
     target->report(reply->load(), BootClock::now());
-    target->heardLife(reply->incarnation());
+    target->recordIncarnation(reply->incarnation());
     answer = readAnswer(*reply, exchange, *target);
   } else {
     answer = fail(takeFailure(reply));
@@ -292,7 +292,7 @@
   open->mutable_token()->set_workspace(request.workspace);
   open->mutable_token()->set_request_id(request.requestId);
   open->mutable_token()->set_target(target.name);
-  open->mutable_token()->set_incarnation(target.lifeForTokens());
+  open->mutable_token()->set_incarnation(target.incarnationForTokens());
   open->set_digest(request.digest);
   open->set_service(request.service);
   open->set_opener(opener);
--- a/Courseloom/src/Routing/Router.cpp
+++ b/Courseloom/src/Routing/Router.cpp
@@ -74,7 +74,7 @@
   if (budget > internal::MaxBudget) m_budget.store(internal::MaxBudget, std::memory_order_relaxed);
 }
 
-bool Router::takeRetry() {
+bool Router::acquireRetry() {
   std::int64_t budget = m_budget.load(std::memory_order_relaxed);
   while (budget >= internal::RetryCost) {
     if (m_budget.compare_exchange_weak(budget, budget - internal::RetryCost, std::memory_order_relaxed)) return true;
--- a/Courseloom/src/Routing/Router.h
+++ b/Courseloom/src/Routing/Router.h
@@ -50,7 +50,7 @@
   /** Counts a first attempt, which adds to the retry budget. */
   void onFirstTry();
   /** \returns whether the budget allows a retry now; if so, subtracts it. */
-  bool takeRetry();
+  bool acquireRetry();
 
   /** \returns the load by which targets are compared: requests per slot. */
   double loadOf(const Target& target, Time now) const;
--- a/Courseloom/src/Routing/Target.cpp
+++ b/Courseloom/src/Routing/Target.cpp
@@ -12,7 +12,7 @@
   if (load.leaving()) leaving.store(true, std::memory_order_relaxed);
 }
 
-void Target::heardLife(std::uint64_t reported) {
+void Target::recordIncarnation(std::uint64_t reported) {
   std::uint64_t known = answeredIncarnation.load(std::memory_order_relaxed);
   while (reported > known && !answeredIncarnation.compare_exchange_weak(known, reported, std::memory_order_relaxed)) {
   }
--- a/Courseloom/src/Routing/Target.h
+++ b/Courseloom/src/Routing/Target.h
@@ -41,10 +41,10 @@
   /** Applies a report of the agent's load. */
   void report(const schema::AgentLoad& load, Time now);
   /** Records the agent's incarnation from an answer. A late answer of a former incarnation changes nothing. */
-  void heardLife(std::uint64_t reported);
+  void recordIncarnation(std::uint64_t reported);
   /** \returns the incarnation for which tokens are made: the higher of the one in the agent's answers and the one in
    * the list of targets, since the list is updated later. */
-  std::uint64_t lifeForTokens() const {
+  std::uint64_t incarnationForTokens() const {
     return std::max(incarnation, answeredIncarnation.load(std::memory_order_relaxed));
   }
 };
--- a/daemons/agent.cpp
+++ b/daemons/agent.cpp
@@ -9,7 +9,7 @@
 
 std::unique_ptr<courseloom::Service> makeService(const courseloom::DaemonContext& context) {
   if (!context.settings.has_runner()) return std::make_unique<courseloom::AgentService>(context);
-  courseloom::RunAgentEdges protocol;
+  courseloom::RunAgentProtocol protocol;
   protocol.makePort = courseloom::platform::makeTargetPort;
   protocol.answerRegistration = courseloom::platform::answerRegistration;
   return std::make_unique<courseloom::RunAgentService>(context, std::move(protocol));
--- a/test/AgentStage.cpp
+++ b/test/AgentStage.cpp
@@ -72,7 +72,7 @@
   m_script.lastDeadlineMs = start.deadlineMs;
   m_script.startTokens[incarnation] = std::max(m_script.startTokens[incarnation], start.token);
   if (m_script.silent || m_script.startsGetNoAnswer) co_return noAnswer();
-  if (incarnation != m_script.incarnation) co_return answerOf(TargetVerdict::OtherLife);
+  if (incarnation != m_script.incarnation) co_return answerOf(TargetVerdict::OtherIncarnation);
   if (m_script.refusesStarts) co_return answerOf(TargetVerdict::Refused, "room");
   co_return answerOf(TargetVerdict::Accepted);
 }
@@ -81,7 +81,7 @@
                                                  Duration) {
   ++m_script.stops;
   if (m_script.silent) co_return noAnswer();
-  if (incarnation != m_script.incarnation) co_return answerOf(TargetVerdict::OtherLife);
+  if (incarnation != m_script.incarnation) co_return answerOf(TargetVerdict::OtherIncarnation);
   if (m_script.stops <= m_script.stopsRefused) co_return answerOf(TargetVerdict::Refused, "429");
   ++m_script.stopsTaken;
   co_return answerOf(TargetVerdict::Accepted);
@@ -91,7 +91,7 @@
   co_await sleepFor(milliseconds(std::min<std::uint32_t>(hold.waitMs, 20)));
   if (m_script.silent) co_return noAnswer();
   if (m_script.busy || incarnation == m_script.busyFor) co_return answerOf(TargetVerdict::Refused, "429");
-  if (incarnation != m_script.incarnation) co_return answerOf(TargetVerdict::OtherLife);
+  if (incarnation != m_script.incarnation) co_return answerOf(TargetVerdict::OtherIncarnation);
   ++m_script.looks;
   m_script.lookTokens.try_emplace(incarnation, hold.token);
   m_script.lastSeen = hold.lastSeen;
@@ -141,7 +141,7 @@
   m_settings.mutable_runner()->set_look_ms(100);
   m_settings.mutable_runner()->set_max_hold_ms(maxHoldMs);
   m_settings.mutable_edge()->set_control_endpoint(Address + ":" + std::to_string(m_registrationPort));
-  RunAgentEdges edges;
+  RunAgentProtocol edges;
   edges.makePort = [this](const DaemonContext&) { return std::make_unique<FakeTarget>(target); };
   edges.answerRegistration = answerRegistration;
   m_agent = std::make_unique<RunAgentService>(DaemonContext{io, m_settings, m_metrics}, std::move(edges));
--- a/test/platform_formats.cpp
+++ b/test/platform_formats.cpp
@@ -158,7 +158,7 @@
   Result<TargetAnswer> fenced = readTargetAnswer(409, R"({"clock_ms":5,"reason":"fence"})");
   cr_assert(fenced && fenced->verdict == TargetVerdict::Refused && fenced->fenced);
   Result<TargetAnswer> other = readTargetAnswer(421, "");
-  cr_assert(other && other->verdict == TargetVerdict::OtherLife);
+  cr_assert(other && other->verdict == TargetVerdict::OtherIncarnation);
   Result<TargetAnswer> unhealthy = readTargetAnswer(503, "<html>");
   cr_assert(unhealthy && unhealthy->verdict == TargetVerdict::Refused);
   cr_assert_not(bool(readTargetAnswer(200, "cut sho")), "half an answer is none");
--- a/test/router.cpp
+++ b/test/router.cpp
@@ -71,11 +71,11 @@
 
 Test(router, retries_are_a_share_of_first_tries) {
   Router router({});
-  while (router.takeRetry()) {
+  while (router.acquireRetry()) {
   }
   for (int i = 0; i < 100; ++i) router.onFirstTry();
   unsigned retries = 0;
-  while (router.takeRetry()) ++retries;
+  while (router.acquireRetry()) ++retries;
   cr_assert_eq(retries, 20);
 }
 
--- a/test/run_agent_rebirth.cpp
+++ b/test/run_agent_rebirth.cpp
@@ -162,7 +162,7 @@
     m_settings.mutable_runner()->set_max_hold_ms(6000);
     m_settings.mutable_runner()->set_target_endpoint(Address + ":" + std::to_string(targetPort));
     m_settings.mutable_edge()->set_control_endpoint(options.agent);
-    RunAgentEdges edges{platform::makeTargetPort, platform::answerRegistration};
+    RunAgentProtocol edges{platform::makeTargetPort, platform::answerRegistration};
     m_agent = std::make_unique<RunAgentService>(DaemonContext{io, m_settings, m_metrics}, std::move(edges));
     cr_assert(static_cast<bool>(m_agent->start()), "the agent does not listen");
     waitFor([this] { return !leader.lives.empty(); });
