--- a/Courseloom/src/Agent/AgentService.cpp
+++ b/Courseloom/src/Agent/AgentService.cpp
@@ -215,7 +215,7 @@
   if (answer) {
     *reply.mutable_answer() = *answer;
   } else {
-    const Failure failure = takeFailure(answer);
+    const Failure failure = extractFailure(answer);
     ran = failure.ran;
     *reply.mutable_failure() = toInfo(failure);
   }
@@ -250,7 +250,7 @@
   Result<HttpResponse> response =
       co_await m_target.exchange("target", std::move(outgoing), limit, internal::MaxAnswerBytes);
   if (!response) {
-    Failure failure = takeFailure(response);
+    Failure failure = extractFailure(response);
     failure.peer = m_context.settings.agent().target();
     co_return fail(std::move(failure));
   }
--- a/Courseloom/src/Agent/Fence.h
+++ b/Courseloom/src/Agent/Fence.h
@@ -14,7 +14,7 @@
  * A target refuses a call whose token is lower than one that it has seen. A delayed call to a former incarnation may
  * reach the next incarnation under the same identity. The target refuses such a call, whatever its term, as soon as the
  * new incarnation has seen the token of its own step. An agent stores nothing on disk, so it derives steps from the
- * time of day; after a restart its steps are higher than those that it used before. \sa TargetLife
+ * time of day; after a restart its steps are higher than those that it used before. \sa TargetIncarnation
  */
 class Fence {
  public:
--- a/Courseloom/src/Agent/RunAgentLeader.cpp
+++ b/Courseloom/src/Agent/RunAgentLeader.cpp
@@ -90,7 +90,7 @@
   const Time deadline = sentAt + milliseconds(waitMs) + internal::ReplyLimit;
   Result<schema::AttendReply> reply = co_await m_control.attend(request, deadline);
   if (!reply) {
-    const Failure failure = takeFailure(reply);
+    const Failure failure = extractFailure(reply);
     if (m_following && failure.code != FailureCode::NoLeader) logFailure(schema::PeerFailed, failure);
     // Without a target the agent gets no lease, so the time since the last contact decides.
     const bool lost = m_target ? !hasLease() : BootClock::now() > m_leaderLastContact + internal::ReplyLimit;
--- a/Courseloom/src/Agent/RunAgentService.cpp
+++ b/Courseloom/src/Agent/RunAgentService.cpp
@@ -220,7 +220,7 @@
       co_await m_port->pace(m_target->report.id(), task, change.run.run, change.percent, token(),
                             milliseconds(m_context.settings.runner().order_limit_ms()));
   // If the target has not received the pace, the next tail latencies show it and the pace is changed again.
-  if (!answer) logFailure(schema::PeerFailed, takeFailure(answer));
+  if (!answer) logFailure(schema::PeerFailed, extractFailure(answer));
 }
 
 /** Records when the target first failed to answer a call since the last successful poll or start. */
--- a/Courseloom/src/Agent/RunAgentService.h
+++ b/Courseloom/src/Agent/RunAgentService.h
@@ -45,7 +45,7 @@
  * confirms one; it then reads the outcome of the run from the lists of the target. The agent reports ends until the
  * leader has committed them, and only then allows the target to forget them. A heartbeat may arrive with a long delay,
  * so the agent accepts a new incarnation of the target only after that incarnation has answered a poll. All state is
- * accessed on one strand. \sa RunLedger TargetLife
+ * accessed on one strand. \sa RunLedger TargetIncarnation
  */
 class RunAgentService : public Service, private TargetRegistry {
  public:
--- a/Courseloom/src/Agent/TargetPort.h
+++ b/Courseloom/src/Agent/TargetPort.h
@@ -43,11 +43,11 @@
  */
 struct TargetAnswer {
   TargetVerdict verdict = TargetVerdict::Refused;
-  std::string reason;         ///< reason for a refusal
-  bool fenced = false;        ///< refused because the target has seen a higher fencing token
-  std::uint64_t clockMs = 0;  ///< the target's steady clock when it answered, ms; 0 if the answer has none
-  std::uint64_t bornMs = 0;   ///< start time of the answering incarnation, ms since 1970; 0 if the answer has none
-  std::string incarnation;    ///< name of the answering incarnation; set in answers to hold, else empty
+  std::string reason;             ///< reason for a refusal
+  bool fenced = false;            ///< refused because the target has seen a higher fencing token
+  std::uint64_t clockMs = 0;      ///< the target's steady clock when it answered, ms; 0 if the answer has none
+  std::uint64_t startTimeMs = 0;  ///< start time of the answering incarnation, ms since 1970; 0 if the answer has none
+  std::string incarnation;        ///< name of the answering incarnation; set in answers to hold, else empty
   std::vector<schema::RunReport> running;  ///< running runs, in answers to hold
   std::vector<schema::EndReport> ends;     ///< ended runs not forgotten yet, in answers to hold
   bool moreEnds = false;                   ///< the list of ends is at its limit; the target may have further ends
--- a/Courseloom/src/Client/EntryClient.cpp
+++ b/Courseloom/src/Client/EntryClient.cpp
@@ -90,7 +90,7 @@
       [](std::exception_ptr) {});
   io.run();
   if (!response) {
-    Failure failure = takeFailure(response);
+    Failure failure = extractFailure(response);
     const bool sent = failure.ran != Ran::No;
     failure.code = sent ? FailureCode::PeerFailed : FailureCode::PeerUnreachable;
     return fail(std::move(failure));
@@ -112,7 +112,7 @@
   for (const std::string& entry : m_entries) {
     Result<EntryReply> reply = callOne(entry, method, path, body, limit);
     if (reply) return reply;
-    last = takeFailure(reply);
+    last = extractFailure(reply);
     // Queries, and changes with a command id, may be sent again after PeerFailed; other requests only if they
     // certainly were not sent.
     const bool unreachable = last.code == FailureCode::PeerUnreachable;
--- a/Courseloom/src/Control/ControlService.cpp
+++ b/Courseloom/src/Control/ControlService.cpp
@@ -106,7 +106,7 @@
 Awaitable<Result<std::string>> ControlService::read() {
   Result<schema::QueueConfiguration> configuration =
       co_await asio::co_spawn(m_strand, m_queues.readConfiguration(), asio::use_awaitable);
-  if (!configuration) co_return fail(takeFailure(configuration));
+  if (!configuration) co_return fail(extractFailure(configuration));
   co_return configuration->source();
 }
 
@@ -237,7 +237,7 @@
   const bool needsInventory = command.has_submit() || command.has_action();
   if (needsInventory) co_await waitForInventory(BootClock::now() + internal::InventoryLimit);
   Result<void> checked = checkCommand(command);
-  if (!checked) co_return fail(takeFailure(checked));
+  if (!checked) co_return fail(extractFailure(checked));
   if (command.has_action() && command.action().dry_run()) co_return m_driver.state().preview(command);
   if (command.has_apply() || command.has_remove()) co_return co_await configure(std::move(command), deadline);
   co_return co_await m_driver.submit(std::move(command), deadline);
@@ -277,7 +277,7 @@
   }
   if (!checked) {
     m_configuring = false;
-    co_return fail(takeFailure(checked));
+    co_return fail(extractFailure(checked));
   }
   const std::string operatorName = command.operator_name();
   Result<schema::CommandReply> reply = co_await m_driver.submit(std::move(command), deadline);
@@ -339,7 +339,7 @@
   if (!request.selector().empty()) {
     Result<Selector> parsed = Selector::parse(request.selector());
     if (!parsed) {
-      *reply.mutable_failure() = toInfo(takeFailure(parsed));
+      *reply.mutable_failure() = toInfo(extractFailure(parsed));
       return reply;
     }
     selector = std::move(*parsed);
--- a/Courseloom/src/Control/JobRunner.cpp
+++ b/Courseloom/src/Control/JobRunner.cpp
@@ -163,7 +163,7 @@
       const Time sentAt = BootClock::now();
       Result<schema::PlatformReport> report = co_await m_platform.report();
       if (!report) {
-        logFailure(schema::PlatformFailed, takeFailure(report));
+        logFailure(schema::PlatformFailed, extractFailure(report));
       } else if (leads()) {
         m_reportSentAt = sentAt;
         applyReport(*report);
--- a/Courseloom/src/Control/QueueHandler.cpp
+++ b/Courseloom/src/Control/QueueHandler.cpp
@@ -102,7 +102,7 @@
   const Time before = BootClock::now();
   Result<schema::CommandReply> reply =
       co_await m_driver.submit(std::move(command), BootClock::now() + internal::CommitLimit);
-  if (!reply) co_return fail(takeFailure(reply));
+  if (!reply) co_return fail(extractFailure(reply));
   const double tookMs = toMilliseconds(BootClock::now() - before);
   // The committed workflow names the queue: the configuration may have changed meanwhile.
   const std::string& queueName = table().find(id)->record.queue();
@@ -124,7 +124,7 @@
   command.mutable_cancel_workflow()->set_id(id);
   Result<schema::CommandReply> reply =
       co_await m_driver.submit(std::move(command), BootClock::now() + internal::CommitLimit);
-  if (!reply) co_return fail(takeFailure(reply));
+  if (!reply) co_return fail(extractFailure(reply));
   logEvent(schema::WorkflowCancelledByCaller, {{"workflow", id}});
   answer.set_phase(schema::WorkflowCancelled);
   co_return answer;
@@ -163,7 +163,7 @@
   *command.mutable_put_configuration()->mutable_configuration() = std::move(configuration);
   Result<schema::CommandReply> reply =
       co_await m_driver.submit(std::move(command), BootClock::now() + internal::CommitLimit);
-  if (!reply) co_return fail(takeFailure(reply));
+  if (!reply) co_return fail(extractFailure(reply));
   logEvent(schema::ConfigurationAccepted, {{"version", version}});
   co_return Result<void>();
 }
@@ -183,7 +183,7 @@
   command.mutable_action()->add_halls(hall);
   Result<schema::CommandReply> reply =
       co_await m_driver.submit(std::move(command), BootClock::now() + internal::CommitLimit);
-  if (!reply) co_return fail(takeFailure(reply));
+  if (!reply) co_return fail(extractFailure(reply));
   co_return Result<void>();
 }
 
--- a/Courseloom/src/Control/ReplicaDriver.cpp
+++ b/Courseloom/src/Control/ReplicaDriver.cpp
@@ -190,7 +190,7 @@
     for (const ReplicaId id : reply->members()) m_joinContacts.insert(id);
     co_return;
   }
-  const Failure failure = takeFailure(reply);
+  const Failure failure = extractFailure(reply);
   const std::optional<ReplicaId> leader = replicaNamedBy(failure);
   if (leader) m_joinContacts.insert(*leader);
 }
@@ -212,7 +212,7 @@
   if (std::find(retired.begin(), retired.end(), m_store.identity().disk_id()) == retired.end()) return;
   logEvent(schema::DiskRetired, {{"disk", m_store.identity().disk_id()}});
   Result<void> erased = m_store.erase();
-  if (!erased) logFailure(schema::StorageFailed, takeFailure(erased));
+  if (!erased) logFailure(schema::StorageFailed, extractFailure(erased));
   flushLog();
   std::_Exit(ExitStorage);
 }
@@ -270,7 +270,7 @@
   setStoring(true);
   asio::post(m_disk, [this, output = std::move(output)]() mutable {
     Result<void> written = m_store.write(output);
-    if (!written) exitOnStorageFailure(takeFailure(written));
+    if (!written) exitOnStorageFailure(extractFailure(written));
     asio::post(m_strand, [this, output = std::move(output)] {
       setStoring(false);
       finish(output);
@@ -291,7 +291,7 @@
   if (output.install) {
     const schema::SnapshotInfo& info = output.install->info();
     Result<void> loaded = m_state.load(output.install->state());
-    if (!loaded) exitOnStorageFailure(takeFailure(loaded));
+    if (!loaded) exitOnStorageFailure(extractFailure(loaded));
     m_applied = info.index();
     m_appliedTerm = info.term();
     m_appliedMembers = info.members();
@@ -425,7 +425,7 @@
   setStoring(true);
   asio::post(m_disk, [this, snapshot, hard = m_replica->hardState(), keep] {
     Result<void> written = m_store.compact(*snapshot, hard, keep);
-    if (!written) exitOnStorageFailure(takeFailure(written));
+    if (!written) exitOnStorageFailure(extractFailure(written));
     asio::post(m_strand, [this, snapshot] {
       setStoring(false);
       m_replica->compact(*snapshot);
--- a/Courseloom/src/Control/ReplicaDriver.h
+++ b/Courseloom/src/Control/ReplicaDriver.h
@@ -67,7 +67,7 @@
   /** \returns starts and ends of runs that were applied since the last call. */
   std::vector<RunChange> consumeRunChanges() { return m_state.workflows().consumeRunChanges(); }
   /** \returns workflows that ended since the last call; some may still have active runs. */
-  std::vector<std::string> consumeEndedWorkflows() { return m_state.workflows().takeEnded(); }
+  std::vector<std::string> consumeEndedWorkflows() { return m_state.workflows().consumeEnded(); }
   /** \returns whether this replica leads now, so that its state may be read. */
   bool canRead() const { return canRead(BootClock::now()); }
   /** \returns whether the state may be read at an instant, at which no other replica could lead. A lease that is
--- a/Courseloom/src/Control/TicketCache.cpp
+++ b/Courseloom/src/Control/TicketCache.cpp
@@ -50,7 +50,7 @@
   const schema::TaskId step = makeTaskId(name.first, {name.second.occurrence, name.second.step, 0});
   Result<std::vector<Ticket>> tickets = co_await m_port->advise(step, targets, internal::AdviceLimit);
   if (!tickets) {
-    logFailure(schema::AdviceFailed, takeFailure(tickets));
+    logFailure(schema::AdviceFailed, extractFailure(tickets));
     co_await sleepFor(internal::AdviceRetryPause);
   }
   const auto found = m_stepTickets.find(name);
--- a/Courseloom/src/Control/WorkflowAgents.cpp
+++ b/Courseloom/src/Control/WorkflowAgents.cpp
@@ -72,7 +72,7 @@
 void WorkflowRunner::logRunEnd(const schema::RunEnd& end, const schema::AttendRequest& report) const {
   const bool usual = end.kind() == schema::RunDone || end.kind() == schema::RunStopped;
   const auto log = [&](std::initializer_list<LogField> fields) {
-    usual ? logStory(schema::RunEnded, end.task().workflow(), fields) : logEvent(schema::RunEnded, fields);
+    usual ? logGroupEvent(schema::RunEnded, end.task().workflow(), fields) : logEvent(schema::RunEnded, fields);
   };
   log({{"task", taskText(end.task())},
        {"run", std::uint64_t{end.run()}},
--- a/Courseloom/src/Control/WorkflowPlanning.cpp
+++ b/Courseloom/src/Control/WorkflowPlanning.cpp
@@ -120,11 +120,11 @@
     row->mutable_run()->set_agent(target.agent);
     row->mutable_run()->set_checkpoint(step.workflow->checkpointOf(key));
     if (step.tickets) row->mutable_run()->set_ticket(step.tickets->at(target.id));
-    logStory(schema::RunPlaced, step.workflow->record.id(),
-             {{"task", taskText(row->task())},
-              {"run", std::uint64_t{row->run().number()}},
-              {"target", target.id},
-              {"waitedMs", static_cast<std::uint64_t>(step.waitedMs)}});
+    logGroupEvent(schema::RunPlaced, step.workflow->record.id(),
+                  {{"task", taskText(row->task())},
+                   {"run", std::uint64_t{row->run().number()}},
+                   {"target", target.id},
+                   {"waitedMs", static_cast<std::uint64_t>(step.waitedMs)}});
   }
   return runs;
 }
@@ -231,7 +231,7 @@
     target.awaited = m_ledger.awaited(track, now);
     target.single = trusted && m_health.onProbation(target.id, now);
     target.penalty = m_health.penalty(target.id, now);
-    if (learnsRunTimes()) target.pace = m_outlook.paceOf(target.id);
+    if (learnsRunTimes()) target.pace = m_runTimeEstimator.slowdownOf(target.id);
   }
   courseloom_assert(planned == m_planTargets.end());
   return m_planTargets;
@@ -318,7 +318,7 @@
     if (due > nowMs) break;
     for (int s = 0; s < record.spec().steps_size(); ++s) {
       const StepKey key{occurrence, static_cast<std::uint32_t>(s)};
-      if (workflow.stepDone(key) || !workflow.stepWaits(key) || !workflow.stepReady(key)) continue;
+      if (workflow.stepDone(key) || !workflow.hasWaitingTasks(key) || !workflow.stepReady(key)) continue;
       const schema::StepSpec& spec = record.spec().steps(s);
       PlannedStep step;
       step.workflow = &workflow;
--- a/Courseloom/src/Control/WorkflowRunTimes.cpp
+++ b/Courseloom/src/Control/WorkflowRunTimes.cpp
@@ -77,13 +77,13 @@
 void WorkflowRunner::updateEstimator() {
   const Time now = BootClock::now();
   if (!learnsRunTimes() || now < m_nextEstimatorUpdate) return;
-  m_outlook = table().outlook();
+  m_runTimeEstimator = table().runTimeEstimator();
   for (const auto& [key, track] : m_ledger.runs()) {
     const WorkflowState* workflow = table().find(key.workflow);
     const std::optional<double> whole = workflow == nullptr ? std::nullopt : fullRunTimeMs(key, track);
-    if (whole) m_outlook.ran(stepOfRuns(*workflow, key.task.stepKey()), track.target, *whole, wallClockMs());
+    if (whole) m_runTimeEstimator.ran(stepOfRuns(*workflow, key.task.stepKey()), track.target, *whole, wallClockMs());
   }
-  m_outlook.closeAll();
+  m_runTimeEstimator.closeAll();
   logSpeedChanges();
   const Duration took = BootClock::now() - now;
   m_context.metrics.record("learn_ms", "all", "all", toMilliseconds(took));
@@ -96,7 +96,7 @@
   double slow = 0.0;
   for (const auto& [agent, track] : m_ledger.targets()) {
     const std::string& target = track.report.id();
-    const TargetPace pace = m_outlook.paceOf(target);
+    const TargetSlowdown pace = m_runTimeEstimator.slowdownOf(target);
     const TargetSpeed speed = speeds[target] = speedOf(pace);
     slow += speed == TargetSpeed::Slow ? 1.0 : 0.0;
     const auto before = m_speeds.find(target);
@@ -117,7 +117,7 @@
   std::vector<schema::TargetStatus> statuses;
   for (const auto& [agent, track] : m_ledger.targets()) {
     schema::TargetStatus& status = statuses.emplace_back();
-    const TargetPace pace = m_outlook.paceOf(track.report.id());
+    const TargetSlowdown pace = m_runTimeEstimator.slowdownOf(track.report.id());
     status.set_id(track.report.id());
     status.set_agent(agent);
     status.set_service(track.report.service());
@@ -134,13 +134,13 @@
 /** \returns the expected run time of a step's task on a usual target, ms; the step's estimate if learning is off. */
 double WorkflowRunner::expectedMs(const std::string& queue, const schema::StepSpec& step) const {
   const auto estimateMs = static_cast<double>(step.estimate_ms());
-  return learnsRunTimes() ? m_outlook.expectedMs(queue, estimateMs) : estimateMs;
+  return learnsRunTimes() ? m_runTimeEstimator.expectedMs(queue, estimateMs) : estimateMs;
 }
 
 /** \returns the time factor of a target: run time of a task on it relative to that on a usual target; 1 if learning is
  * off. */
 double WorkflowRunner::timeFactor(const std::string& target) const {
-  return learnsRunTimes() ? m_outlook.timeFactor(target) : 1.0;
+  return learnsRunTimes() ? m_runTimeEstimator.timeFactor(target) : 1.0;
 }
 
 /** \returns the remaining run time of a run, ms.
--- a/Courseloom/src/Control/WorkflowRunner.h
+++ b/Courseloom/src/Control/WorkflowRunner.h
@@ -154,7 +154,7 @@
   RelayDirectory m_relays;  ///< updated at each tick
   RunPlanner m_planner;
   TargetHealth m_health;
-  RunOutlook m_outlook;                         ///< run time estimates from the log and from the active runs
+  RunTimeEstimator m_runTimeEstimator;          ///< run time estimates from the log and from the active runs
   std::map<std::string, TargetSpeed> m_speeds;  ///< last logged speed, by target identity
   Time m_nextEstimatorUpdate{};                 ///< time of the next update of the run time estimates
   ChangeSignal m_planWanted;
--- a/Courseloom/src/Control/WorkflowTrials.cpp
+++ b/Courseloom/src/Control/WorkflowTrials.cpp
@@ -25,7 +25,7 @@
 void WorkflowRunner::logCrash(const RunChange& change) const {
   const WorkflowState* workflow = table().find(change.task.workflow());
   const TaskState* task = workflow == nullptr ? nullptr : workflow->task(keyOf(change.task));
-  if (task == nullptr || !task->crashes.accused()) return;
+  if (task == nullptr || !task->crashes.suspected()) return;
   const schema::TargetCrash& crash = task->crashes.crashes().back();
   if (crash.run() != change.run.number()) return;
   m_context.metrics.count("task_crashes", schema::CrashKind_Name(crash.kind()));
@@ -40,7 +40,7 @@
 void WorkflowRunner::logGivenUpTasks(const WorkflowState& workflow) const {
   if (workflow.record.phase() != schema::WorkflowFailed) return;
   for (const auto& [key, task] : workflow.tasks) {
-    if (!task.crashes.convicted()) continue;
+    if (!task.crashes.shouldGiveUp()) continue;
     m_context.metrics.count("tasks_given_up", workflow.record.queue());
     logEvent(schema::TaskGivenUp,
              {{"task", taskText(makeTaskId(workflow.record.id(), key))}, {"evidence", task.crashes.evidence()}});
@@ -66,7 +66,7 @@
   m_trialAgents.clear();
   for (const std::string& id : table().open()) {
     const WorkflowState& workflow = *table().find(id);
-    if (workflow.accusedTasks == 0) continue;
+    if (workflow.suspectTasks == 0) continue;
     for (auto run = m_ledger.runs().lower_bound({id, {}, 0}); run != m_ledger.runs().end(); ++run) {
       if (run->first.workflow != id) break;
       const bool runsTrial = isTrialStart(workflow, run->first, run->second) && isTargetReachable(run->second);
@@ -98,7 +98,7 @@
 
 /** Adds a waiting step to a plan; divides it into parts if some of its tasks need a trial start. */
 void WorkflowRunner::addStepParts(PlannedStep step, std::vector<PlannedStep>& steps) {
-  if (step.workflow->accusedTasks == 0) return steps.push_back(std::move(step));
+  if (step.workflow->suspectTasks == 0) return steps.push_back(std::move(step));
   const std::size_t most = newTrialsAllowed(step);
   for (PlannedStep& part : splitForTrial(std::move(step), most)) {
     if (part.trial) m_trialsLeft -= std::min(m_trialsLeft, part.tasks.size());
--- a/Courseloom/src/Core/Failure.h
+++ b/Courseloom/src/Core/Failure.h
@@ -118,7 +118,7 @@
 /** Moves the failure out of a result, which must not be used afterwards. To be called only if the result holds one.
  * \returns the failure; Internal if the result's error is of another type */
 template <class T>
-Failure takeFailure(Result<T>& result) {
+Failure extractFailure(Result<T>& result) {
   return boost::leaf::try_handle_all([&]() -> Result<Failure> { return result.error(); },
                                      [](Failure& failure) { return std::move(failure); },
                                      [] { return Failure{FailureCode::Internal, Ran::Unknown, "", "", "", 0}; });
--- a/Courseloom/src/Core/Log.cpp
+++ b/Courseloom/src/Core/Log.cpp
@@ -18,7 +18,7 @@
 #include <sstream>
 
 #include "Courseloom/src/Core/Clock.h"
-#include "Courseloom/src/Core/StoryChoice.h"
+#include "Courseloom/src/Core/LogGroupSampler.h"
 
 namespace courseloom {
 namespace internal {
@@ -140,11 +140,11 @@
   if (write) internal::write_line(event, level, fields);
 }
 
-void logStory(schema::Event event, const std::string& group, std::initializer_list<LogField> fields) {
+void logGroupEvent(schema::Event event, const std::string& group, std::initializer_list<LogField> fields) {
   const log4cxx::LevelPtr level = log4cxx::Level::toLevel(internal::event_rule(event).level());
   if (!internal::process_logger()->isEnabledFor(level)) return;
   static std::mutex mutex;
-  static StoryChoice sampler(internal::GroupedLinesEachSecond);
+  static LogGroupSampler sampler(internal::GroupedLinesEachSecond);
   std::uint64_t omitted = 0;
   bool write = false;
   {
--- a/Courseloom/src/Core/Log.h
+++ b/Courseloom/src/Core/Log.h
@@ -35,8 +35,8 @@
 void logEvent(schema::Event event, std::initializer_list<LogField> fields = {});
 /** Writes one event of a log group, such as the events of a workflow's runs. If there are more lines than the budget of
  * all groups allows, fewer groups are written, and each of these completely.
- * \param group name of the log group \sa StoryChoice */
-void logStory(schema::Event event, const std::string& group, std::initializer_list<LogField> fields);
+ * \param group name of the log group \sa LogGroupSampler */
+void logGroupEvent(schema::Event event, const std::string& group, std::initializer_list<LogField> fields);
 /** Writes one numbered event with a failure's code, ran, step, peer and detail. */
 void logFailure(schema::Event event, const Failure& failure);
 /** Writes the queued lines and shuts the log down; nothing can be logged afterwards. */
--- a/Courseloom/src/Core/StoryChoice.cpp
+++ b/Courseloom/src/Core/LogGroupSampler.cpp
@@ -1,7 +1,7 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-#include "Courseloom/src/Core/StoryChoice.h"
+#include "Courseloom/src/Core/LogGroupSampler.h"
 
 #include <algorithm>
 #include <utility>
@@ -19,7 +19,7 @@
 }  // namespace
 }  // namespace internal
 
-void StoryChoice::beginSecond(std::int64_t second) {
+void LogGroupSampler::beginSecond(std::int64_t second) {
   const bool lowUsage = m_written * internal::LowUsageDivisor < m_lines;
   const std::int64_t secondsOfLowUsage = second - m_second - (lowUsage ? 0 : 1);
   m_halvings -= static_cast<unsigned>(std::clamp<std::int64_t>(secondsOfLowUsage, 0, m_halvings));
@@ -28,7 +28,7 @@
   m_halveAt = m_lines;
 }
 
-bool StoryChoice::admit(std::uint64_t group, std::int64_t second, std::uint64_t& omitted) {
+bool LogGroupSampler::admit(std::uint64_t group, std::int64_t second, std::uint64_t& omitted) {
   if (second != m_second) {
     omitted = std::exchange(m_omitted, 0);
     beginSecond(second);
--- a/Courseloom/src/Core/StoryChoice.h
+++ b/Courseloom/src/Core/LogGroupSampler.h
@@ -7,7 +7,7 @@
 
 namespace courseloom {
 
-/** \class StoryChoice
+/** \class LogGroupSampler
  * \brief Samples log groups when there are more log lines than the budget of a second allows.
  *
  * The lines of a group belong together, such as those of one workflow's runs. They are all written or all left out.
@@ -15,10 +15,10 @@
  * the former ones, so that their lines are complete from the first to the last. The number is doubled again after a
  * second that used less than a quarter of the budget.
  */
-class StoryChoice {
+class LogGroupSampler {
  public:
   /** \param linesEachSecond budget, in lines a second */
-  explicit StoryChoice(unsigned linesEachSecond) : m_lines(linesEachSecond) {}
+  explicit LogGroupSampler(unsigned linesEachSecond) : m_lines(linesEachSecond) {}
 
   /** Decides on one line. \param group a hash of the group's name \param second now, in whole seconds
    * \param omitted set to the number of lines left out and not yet reported, if this is the first line of a new second
--- a/Courseloom/src/Core/TargetLife.h
+++ b/Courseloom/src/Core/TargetIncarnation.h
@@ -9,22 +9,22 @@
 
 namespace courseloom {
 
-/** \class TargetLife
+/** \class TargetIncarnation
  * \brief One incarnation of a target, from the start of its process to the end: identity and start time.
  *
  * A process may be restarted with the same identity and then has no state of its former incarnation. Messages, the log,
  * health and tickets therefore identify a target by the name of its incarnation, which holds identity and start time.
  */
-struct TargetLife {
-  std::string id;            ///< identity with which the process registers
-  std::uint64_t bornMs = 0;  ///< start time that the target reports, ms since 1970; 0 if it reports none
+struct TargetIncarnation {
+  std::string id;                 ///< identity with which the process registers
+  std::uint64_t startTimeMs = 0;  ///< start time that the target reports, ms since 1970; 0 if it reports none
 
   /** \returns ID@START with the start time in ms since 1970, or ID alone if the start time is 0. */
   std::string name() const;
   /** Parses a name(). The start time is 0 if the name has none, or if it is not a number. */
-  static TargetLife named(std::string_view name);
+  static TargetIncarnation named(std::string_view name);
   /** \returns whether a text is valid as an identity: not empty, and without the '@' that precedes the start time. */
-  static bool isIdentity(std::string_view id);
+  static bool isValidId(std::string_view id);
 };
 
 }  // namespace courseloom
--- a/Courseloom/src/Entry/EntryService.cpp
+++ b/Courseloom/src/Entry/EntryService.cpp
@@ -102,9 +102,9 @@
   }
   Result<RequestContext> context =
       readRequest(std::move(request), std::move(service), m_context.settings.entry().default_deadline_ms());
-  if (!context) co_return problemResponse(takeFailure(context));
+  if (!context) co_return problemResponse(extractFailure(context));
   Result<schema::Answer> answer = co_await m_requests.serve(std::move(*context));
-  if (!answer) co_return problemResponse(takeFailure(answer));
+  if (!answer) co_return problemResponse(extractFailure(answer));
   HttpResponse response;
   response.result(answer->status());
   if (!answer->content_type().empty()) response.set(http::field::content_type, answer->content_type());
--- a/Courseloom/src/Entry/OperatorRoutes.cpp
+++ b/Courseloom/src/Entry/OperatorRoutes.cpp
@@ -120,7 +120,7 @@
   const Time deadline = BootClock::now() + internal::CommandLimit + milliseconds(query.wait_ms());
   Result<schema::QueryReply> reply = co_await m_control.query(std::move(query), deadline);
   if (!reply) {
-    Failure failure = takeFailure(reply);
+    Failure failure = extractFailure(reply);
     failure.ran = Ran::No;
     co_return problemResponse(failure);
   }
@@ -136,7 +136,7 @@
   command.set_operator_name(operatorName.empty() ? "unnamed" : operatorName);
   Result<schema::CommandReply> reply =
       co_await m_control.command(std::move(command), BootClock::now() + internal::CommandLimit);
-  if (!reply) co_return problemResponse(takeFailure(reply));
+  if (!reply) co_return problemResponse(extractFailure(reply));
   if (reply->has_failure()) co_return problemResponse(fromInfo(reply->failure()));
   HttpResponse response = jsonResponse(status, internal::to_json(*reply));
   if (reply->revision() > 0) response.set(http::field::etag, "\"" + std::to_string(reply->revision()) + "\"");
@@ -146,7 +146,7 @@
 Awaitable<HttpResponse> OperatorRoutes::jobs(HttpRequest request, std::vector<std::string> path, std::string query) {
   if (path.size() == 1 && request.method() == http::verb::post) {
     Result<schema::JobSpec> spec = internal::read_body<schema::JobSpec>(request);
-    if (!spec) co_return problemResponse(takeFailure(spec));
+    if (!spec) co_return problemResponse(extractFailure(spec));
     schema::Command command;
     *command.mutable_submit()->mutable_spec() = std::move(*spec);
     co_return co_await sendCommand(std::move(command), request, 201);
@@ -185,11 +185,11 @@
     co_return co_await sendQuery(std::move(queryRequest));
   }
   Result<std::uint64_t> revision = internal::read_revision(headerValue(request, "If-Match"));
-  if (!revision) co_return problemResponse(takeFailure(revision));
+  if (!revision) co_return problemResponse(extractFailure(revision));
   schema::Command command;
   if (path.size() == 1 && request.method() == http::verb::post) {
     Result<schema::ObjectFile> file = internal::read_body<schema::ObjectFile>(request);
-    if (!file) co_return problemResponse(takeFailure(file));
+    if (!file) co_return problemResponse(extractFailure(file));
     *command.mutable_apply()->mutable_objects() = file->objects();
     if (*revision > 0) {
       for (schema::Object& object : *command.mutable_apply()->mutable_objects()) object.set_revision(*revision);
@@ -208,7 +208,7 @@
 Awaitable<HttpResponse> OperatorRoutes::action(HttpRequest request) {
   if (request.method() != http::verb::post) co_return problemResponse(internal::wrong_method("POST"));
   Result<schema::Action> action = internal::read_body<schema::Action>(request);
-  if (!action) co_return problemResponse(takeFailure(action));
+  if (!action) co_return problemResponse(extractFailure(action));
   schema::Command command;
   *command.mutable_action() = std::move(*action);
   co_return co_await sendCommand(std::move(command), request, 200);
--- a/Courseloom/src/Entry/QueueGateway.cpp
+++ b/Courseloom/src/Entry/QueueGateway.cpp
@@ -39,7 +39,7 @@
   const Duration maxBudget = internal::changes_state(call) ? std::max(budget, unconfirmedBudget) : budget;
   Result<schema::QueueAnswer> answer = co_await m_control.call(std::move(call), now + budget, now + maxBudget);
   if (answer) co_return answer;
-  Failure failure = takeFailure(answer);
+  Failure failure = extractFailure(answer);
   logEvent(schema::QueueCallFailed, {{"kind", kind},
                                      {"path", path},
                                      {"code", codeName(failure.code)},
--- a/Courseloom/src/Entry/RequestPath.cpp
+++ b/Courseloom/src/Entry/RequestPath.cpp
@@ -131,7 +131,7 @@
 Awaitable<Result<schema::Answer>> RequestPath::serve(RequestContext request) {
   Result<View::Counter> counter = admit(request);
   if (!counter) {
-    const Failure failure = takeFailure(counter);
+    const Failure failure = extractFailure(counter);
     m_context.metrics.count("refused", codeName(failure.code));
     co_return fail(failure);
   }
@@ -145,7 +145,7 @@
   }
   recordTimes(request, bool(answer));
   if (answer) co_return answer;
-  Failure failure = takeFailure(answer);
+  Failure failure = extractFailure(answer);
   m_context.metrics.count("refused", codeName(failure.code));
   logFailure(schema::RequestRefused, failure);
   // A retry cannot reveal an outcome that is lost for good; the failure of an outcome that may still become known
@@ -236,10 +236,10 @@
     target->recordIncarnation(reply->incarnation());
     answer = readAnswer(*reply, exchange, *target);
   } else {
-    answer = fail(takeFailure(reply));
+    answer = fail(extractFailure(reply));
   }
   if (!answer) {
-    failure = takeFailure(answer);
+    failure = extractFailure(answer);
     answer = fail(failure);
   }
   recordOutcome(request, *target, answer, failure);
@@ -271,7 +271,7 @@
     if (!target) co_return fail(noTargetFailure(request, last));
     Result<schema::Answer> answer = co_await runOn(request, target, std::nullopt);
     if (answer) co_return answer;
-    Failure failure = takeFailure(answer);
+    Failure failure = extractFailure(answer);
     if (failure.ran != Ran::No) ++unconfirmedTries;
     // If any attempt may have run, the request may have run.
     if (last && last->ran != Ran::No) failure.ran = last->ran;
@@ -311,7 +311,7 @@
     const std::string opener = m_exchangePrefix + std::to_string(m_exchanges.fetch_add(1));
     Result<schema::CommandReply> opened = co_await openClaim(request, *target, opener);
     if (!opened) {
-      Failure failure = takeFailure(opened);
+      Failure failure = extractFailure(opened);
       const bool digestRefused = failure.code == FailureCode::RequestIdReused;
       // Without the claim it is unknown whether another entry ran the request; this entry has sent nothing.
       if (!digestRefused) failure.ran = request.notRun();
@@ -322,7 +322,7 @@
     if (!opened->granted()) {
       Result<schema::Answer> known = co_await answerFromClaim(request, claim);
       if (known) co_return known;
-      Failure failure = takeFailure(known);
+      Failure failure = extractFailure(known);
       if (failure.code != FailureCode::Fenced) co_return fail(std::move(failure));
       request.claimKnown = false;
       last = std::nullopt;
@@ -330,7 +330,7 @@
     }
     Result<schema::Answer> answer = co_await dispatchClaim(request, target, claim.token());
     if (answer) co_return answer;
-    Failure failure = takeFailure(answer);
+    Failure failure = extractFailure(answer);
     // A concurrent call with the same request id voided the token before it reached the agent. The target is not at
     // fault. The other call may run the request, so this one cannot report that it did not run.
     if (failure.code == FailureCode::Fenced) {
@@ -390,7 +390,7 @@
     co_await endClaim(token, schema::ClaimFinished, *answer, request.deadline + internal::AnswerGrace);
     co_return answer;
   }
-  Failure failure = takeFailure(answer);
+  Failure failure = extractFailure(answer);
   // A token is sent once, so a fenced delivery means that the run never started.
   if (failure.code == FailureCode::Fenced) failure.ran = Ran::No;
   if (failure.ran == Ran::No) {
@@ -458,7 +458,7 @@
   if (phase == schema::ClaimFinished) *end->mutable_answer() = std::move(answer);
   Result<schema::CommandReply> reply = co_await m_follower.control().command(std::move(command), deadline);
   // Not fatal: the claim stays open, and the next call with this request id gets the outcome from the agent.
-  if (!reply) logFailure(schema::PeerFailed, takeFailure(reply));
+  if (!reply) logFailure(schema::PeerFailed, extractFailure(reply));
 }
 
 /** Requests the outcome of a token until it is known, after the caller's call has ended. The answer is then recorded
--- a/Courseloom/src/Membership/ControlClient.cpp
+++ b/Courseloom/src/Membership/ControlClient.cpp
@@ -234,7 +234,7 @@
     onSuccess(destination);
     co_return reply;
   }
-  Failure failure = takeFailure(reply);
+  Failure failure = extractFailure(reply);
   onFailure(destination, failure);
   co_return fail(std::move(failure));
 }
@@ -246,7 +246,7 @@
   while (BootClock::now() < (ran == Ran::Unknown ? deadline : giveUpAt)) {
     Result<Reply> reply = co_await tryOnce<Reply>(method, request, deadline);
     if (reply) co_return reply;
-    last = takeFailure(reply);
+    last = extractFailure(reply);
     if (last.ran == Ran::Unknown) ran = Ran::Unknown;
     if (!internal::is_retriable_elsewhere(last.code)) break;
     co_await sleepFor(LeaderRetryPause);
--- a/Courseloom/src/Membership/ControlRelay.cpp
+++ b/Courseloom/src/Membership/ControlRelay.cpp
@@ -45,7 +45,7 @@
     Result<Reply> reply = co_await (m_control.*call)(std::move(request), BootClock::now() + timeout);
     if (reply) co_return reply;
     // The caller cannot reach the replicas, so the failure must not carry a hint to one of them.
-    Failure failure = takeFailure(reply);
+    Failure failure = extractFailure(reply);
     failure.peer.clear();
     co_return fail(std::move(failure));
   });
--- a/Courseloom/src/Membership/ViewFollower.cpp
+++ b/Courseloom/src/Membership/ViewFollower.cpp
@@ -64,7 +64,7 @@
       m_control.setRelays({reply->relays().begin(), reply->relays().end()});
       applyReply(*reply, sentAt);
     } else {
-      logLastingFailure(takeFailure(reply));
+      logLastingFailure(extractFailure(reply));
       co_await sleepFor(LeaderRetryPause);
     }
   }
@@ -115,7 +115,7 @@
   request.mutable_node()->set_leaving(true);
   Result<schema::WatchReply> reply =
       co_await m_control.watch(std::move(request), BootClock::now() + internal::LeavingTimeout);
-  if (!reply) logFailure(schema::PeerFailed, takeFailure(reply));
+  if (!reply) logFailure(schema::PeerFailed, extractFailure(reply));
 }
 
 }  // namespace courseloom
--- a/Courseloom/src/Platform/Platform.cpp
+++ b/Courseloom/src/Platform/Platform.cpp
@@ -31,7 +31,7 @@
 template <class Message>
 Result<Message> read_answer(const std::string& step, const std::string& peer, Result<HttpResponse> response) {
   if (!response) {
-    Failure failure = takeFailure(response);
+    Failure failure = extractFailure(response);
     failure.code = FailureCode::PlatformFailed;
     return fail(std::move(failure));
   }
--- a/Courseloom/src/Runtime/Daemon.cpp
+++ b/Courseloom/src/Runtime/Daemon.cpp
@@ -84,7 +84,7 @@
 /** Reads the files again and passes the settings to the service. Invalid settings are logged and not applied. */
 void reload_settings(const DaemonProgram& program, const std::vector<std::string>& files, Service& service) {
   Result<schema::Settings> settings = readSettings(files, program.needSections);
-  if (!settings) return logFailure(schema::SettingsRefused, takeFailure(settings));
+  if (!settings) return logFailure(schema::SettingsRefused, extractFailure(settings));
   logEvent(schema::SettingsReloaded);
   service.reload(*settings);
 }
@@ -122,7 +122,7 @@
   asio::signal_set signals(io, SIGTERM, SIGINT);
   Result<Listening> listening = service->start();
   if (!listening) {
-    const Failure failure = takeFailure(listening);
+    const Failure failure = extractFailure(listening);
     logFailure(schema::ProcessFailed, failure);
     const bool storage = failure.code == FailureCode::StorageDamaged || failure.code == FailureCode::StorageFull;
     const bool badSettings = failure.code == FailureCode::BadSettings;
@@ -178,7 +178,7 @@
     return code == 0 ? ExitSuccess : ExitUsage;
   }
   Result<schema::Settings> settings = readSettings(files, program.needSections);
-  if (!settings) return internal::report_failure(program.name, takeFailure(settings), ExitSettings);
+  if (!settings) return internal::report_failure(program.name, extractFailure(settings), ExitSettings);
   if (checkOnly) {
     std::cout << "settings are valid\n";
     return ExitSuccess;
--- a/Courseloom/src/Scheduling/Lateness.cpp
+++ b/Courseloom/src/Scheduling/Lateness.cpp
@@ -32,7 +32,7 @@
 
 LateChance::LateChance(double limit) : m_limit(limit), m_usualChance(internal::probability_above(limit, 0.0, 0.0)) {}
 
-double LateChance::on(const TargetPace& pace) const {
+double LateChance::on(const TargetSlowdown& pace) const {
   return std::max(0.0, internal::probability_above(m_limit, pace.slowness, pace.error) - m_usualChance);
 }
 
--- a/Courseloom/src/Scheduling/Lateness.h
+++ b/Courseloom/src/Scheduling/Lateness.h
@@ -3,11 +3,11 @@
 
 #pragma once
 
-#include "Courseloom/src/State/RunOutlook.h"
+#include "Courseloom/src/State/RunTimeEstimator.h"
 
 namespace courseloom {
 
-/** \returns the slowdown, as in TargetPace, at which a task that is planned now ends just in time.
+/** \returns the slowdown, as in TargetSlowdown, at which a task that is planned now ends just in time.
  * \param leftMs time until the task should end, ms \param usualMs its run time on a usual target, ms */
 double slowdownLimit(double leftMs, double usualMs);
 
@@ -20,7 +20,7 @@
   /** \param limit slowdown at which the task ends just in time */
   explicit LateChance(double limit);
   /** \returns the difference for a target. \param pace the target's slowdown */
-  double on(const TargetPace& pace) const;
+  double on(const TargetSlowdown& pace) const;
 
  private:
   double m_limit;
--- a/Courseloom/src/Scheduling/RunLedger.cpp
+++ b/Courseloom/src/Scheduling/RunLedger.cpp
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "Courseloom/src/Core/TargetLife.h"
+#include "Courseloom/src/Core/TargetIncarnation.h"
 
 namespace courseloom {
 
@@ -34,7 +34,7 @@
 /** \returns whether one incarnation can have accepted an order that was intended for another, as it can if both have
  * the same identity. */
 bool same_identity(const std::string& incarnation, const std::string& intended) {
-  return !incarnation.empty() && TargetLife::named(incarnation).id == TargetLife::named(intended).id;
+  return !incarnation.empty() && TargetIncarnation::named(incarnation).id == TargetIncarnation::named(intended).id;
 }
 
 bool same_description(const schema::TargetReport& a, const schema::TargetReport& b) {
--- a/Courseloom/src/State/ClusterState.cpp
+++ b/Courseloom/src/State/ClusterState.cpp
@@ -20,7 +20,7 @@
   return reply;
 }
 
-schema::CommandReply refusal(Result<void>& checked) { return refusal(takeFailure(checked)); }
+schema::CommandReply refusal(Result<void>& checked) { return refusal(extractFailure(checked)); }
 
 }  // namespace
 }  // namespace internal
@@ -174,7 +174,7 @@
 schema::CommandReply ClusterState::matchAction(const schema::Action& action, std::vector<ObjectId>& objects,
                                                std::vector<std::string>& jobs) const {
   Result<Selector> selector = Selector::parse(action.selector());
-  if (!selector) return internal::refusal(takeFailure(selector));
+  if (!selector) return internal::refusal(extractFailure(selector));
   schema::CommandReply reply;
   const bool forJobsOnly = action.kind() == schema::Reshape;
   for (const auto& [id, object] : m_objects.objects()) {
--- a/Courseloom/src/State/CrashRecord.cpp
+++ b/Courseloom/src/State/CrashRecord.cpp
@@ -34,7 +34,7 @@
 
 bool CrashRecord::needsTrial() const { return isolatedCrashes() > 0 || m_crashes.size() > 1; }
 
-bool CrashRecord::convicted() const {
+bool CrashRecord::shouldGiveUp() const {
   if (m_crashes.size() < CrashesAllowed) return false;
   return isolatedCrashes() >= IsolatedCrashLimit || m_lastStarts >= StartsLeft;
 }
--- a/Courseloom/src/State/CrashRecord.h
+++ b/Courseloom/src/State/CrashRecord.h
@@ -36,12 +36,12 @@
   void ended(const schema::ActiveRun& run, const schema::RunEnd& end);
 
   /** \returns whether any crash is recorded. */
-  bool accused() const { return !m_crashes.empty(); }
+  bool suspected() const { return !m_crashes.empty(); }
   /** \returns whether the next start must be a trial start, at a target that is kept free of other starts: after a
    * crash with nothing else just started, or after any two crashes. */
   bool needsTrial() const;
   /** \returns whether the task must not be started again. Valid only while none of its runs is active. */
-  bool convicted() const;
+  bool shouldGiveUp() const;
   /** \returns the crashes, oldest first. */
   const std::vector<schema::TargetCrash>& crashes() const { return m_crashes; }
   /** \returns the crashes as readable text: target, run, kind and time after the start in ms, if that is known. */
--- a/Courseloom/src/State/RunOutlook.cpp
+++ b/Courseloom/src/State/RunTimeEstimator.cpp
@@ -1,7 +1,7 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-#include "Courseloom/src/State/RunOutlook.h"
+#include "Courseloom/src/State/RunTimeEstimator.h"
 
 #include <algorithm>
 #include <cmath>
@@ -49,12 +49,12 @@
 }  // namespace
 }  // namespace internal
 
-TargetSpeed speedOf(const TargetPace& pace) {
+TargetSpeed speedOf(const TargetSlowdown& pace) {
   if (std::abs(pace.slowness) < std::max(internal::MinNotableSlowdown, pace.error)) return TargetSpeed::Usual;
   return pace.slowness > 0.0 ? TargetSpeed::Slow : TargetSpeed::Fast;
 }
 
-void RunOutlook::ran(const StepOfRuns& step, const std::string& target, double fullRunMs, std::uint64_t nowMs) {
+void RunTimeEstimator::ran(const StepOfRuns& step, const std::string& target, double fullRunMs, std::uint64_t nowMs) {
   if (fullRunMs <= 0.0 || step.estimateMs <= 0.0) return;
   OpenStep& open = m_open[step.name];
   open.info = step;
@@ -63,7 +63,7 @@
   if (logTimes.size() < internal::MaxTimesPerTarget) logTimes.push_back(std::log(fullRunMs));
 }
 
-void RunOutlook::closeWorkflow(const std::string& workflow) {
+void RunTimeEstimator::closeWorkflow(const std::string& workflow) {
   const std::string prefix = workflow + ".";
   for (auto step = m_open.lower_bound(prefix); step != m_open.end() && step->first.starts_with(prefix);) {
     learn(step->second);
@@ -71,15 +71,15 @@
   }
 }
 
-void RunOutlook::closeAll() {
+void RunTimeEstimator::closeAll() {
   for (const auto& [name, step] : m_open) learn(step);
   m_open.clear();
 }
 
-RunOutlook::TargetEstimate& RunOutlook::estimateFor(const std::string& target) {
+RunTimeEstimator::TargetEstimate& RunTimeEstimator::estimateFor(const std::string& target) {
   const auto found = m_estimates.find(target);
   if (found != m_estimates.end()) return found->second;
-  if (m_estimates.size() >= MostTargets) {
+  if (m_estimates.size() >= MaxTargets) {
     m_estimates.erase(std::min_element(m_estimates.begin(), m_estimates.end(), [](const auto& a, const auto& b) {
       return a.second.lastSeenMs < b.second.lastSeenMs;
     }));
@@ -87,7 +87,7 @@
   return m_estimates[target] = {0.0, internal::InitialVariance, 0};
 }
 
-std::vector<RunOutlook::Observation> RunOutlook::observationsOf(const OpenStep& step) {
+std::vector<RunTimeEstimator::Observation> RunTimeEstimator::observationsOf(const OpenStep& step) {
   std::vector<Observation> observations;
   for (const auto& [target, logTimes] : step.logTimes) {
     TargetEstimate& targetEstimate = estimateFor(target);
@@ -100,7 +100,7 @@
 }
 
 /** Clamps the step effects to a range around their median, so that one target with an outlier has little weight. */
-void RunOutlook::clampStepEffects(std::vector<Observation>& observations) {
+void RunTimeEstimator::clampStepEffects(std::vector<Observation>& observations) {
   std::vector<double> values;
   for (const Observation& observation : observations)
     values.push_back(observation.value - observation.targetEstimate->slowdown);
@@ -115,7 +115,7 @@
 
 /** Estimates the step's amount of work from all targets, and updates each target from what the other targets show of
  * the step. */
-void RunOutlook::learn(const OpenStep& step) {
+void RunTimeEstimator::learn(const OpenStep& step) {
   std::vector<Observation> observations = observationsOf(step);
   clampStepEffects(observations);
   const StepOfRuns& info = step.info;
@@ -145,17 +145,17 @@
   }
 }
 
-TargetPace RunOutlook::paceOf(const std::string& target) const {
+TargetSlowdown RunTimeEstimator::slowdownOf(const std::string& target) const {
   const auto found = m_estimates.find(target);
   if (found == m_estimates.end()) return {0.0, std::sqrt(internal::InitialVariance)};
   return {found->second.slowdown, std::sqrt(found->second.variance)};
 }
 
-double RunOutlook::timeFactor(const std::string& target) const { return std::exp(paceOf(target).slowness); }
+double RunTimeEstimator::timeFactor(const std::string& target) const { return std::exp(slowdownOf(target).slowness); }
 
 // ---- snapshots
 
-void RunOutlook::save(schema::StateSnapshot& snapshot) const {
+void RunTimeEstimator::save(schema::StateSnapshot& snapshot) const {
   m_times.save(snapshot);
   for (const auto& [target, targetEstimate] : m_estimates) {
     schema::TargetPaceRecord* row = snapshot.add_target_paces();
@@ -178,7 +178,7 @@
   }
 }
 
-void RunOutlook::load(const schema::StateSnapshot& snapshot) {
+void RunTimeEstimator::load(const schema::StateSnapshot& snapshot) {
   m_times.load(snapshot);
   m_estimates.clear();
   m_open.clear();
--- a/Courseloom/src/State/RunOutlook.h
+++ b/Courseloom/src/State/RunTimeEstimator.h
@@ -13,10 +13,10 @@
 
 namespace courseloom {
 
-/** \class TargetPace
+/** \class TargetSlowdown
  * \brief Estimated slowdown of one target.
  */
-struct TargetPace {
+struct TargetSlowdown {
   /** Logarithm of the target's run times relative to those of a usual target: 0.7 is twice as long. */
   double slowness = 0.0;
   /** Standard error of the slowdown, also on the logarithmic scale. */
@@ -26,7 +26,7 @@
 /** Class of a target's speed, as log events name it. */
 enum class TargetSpeed : std::uint8_t { Usual, Slow, Fast };
 /** \returns the class of a target's speed: Usual if its absolute slowdown is below 0.1 or below its standard error. */
-TargetSpeed speedOf(const TargetPace& pace);
+TargetSpeed speedOf(const TargetSlowdown& pace);
 
 /** \class StepOfRuns
  * \brief The properties of a step that its tasks' run times depend on.
@@ -38,7 +38,7 @@
   bool gang = false;        ///< whether all its tasks do the same work
 };
 
-/** \class RunOutlook
+/** \class RunTimeEstimator
  * \brief Predicts the run time of a task on a target from the run times seen.
  *
  * The logarithm of a run time is modelled as the sum of the amount of work of the run's step and the slowdown of its
@@ -51,10 +51,10 @@
  * estimates of the former leader. Source of the idea: throughputs of work on unlike machines as in Gavel (Narayanan et
  * al., OSDI 2020). The update is that of a Kalman filter whose random walk allows a target's slowdown to change.
  */
-class RunOutlook {
+class RunTimeEstimator {
  public:
   /** Largest number of target incarnations with an estimate; the one with the oldest last run is evicted first. */
-  static constexpr std::size_t MostTargets = 4096;
+  static constexpr std::size_t MaxTargets = 4096;
 
   /** Records the run time of a task; a run time or an estimate of the step that is not above 0 is ignored.
    * \param fullRunMs time that the whole task takes on the target from its beginning to its end, ms
@@ -71,7 +71,7 @@
   /** \returns the expected run time of a task on a usual target, ms. */
   double expectedMs(const std::string& queue, double estimateMs) const { return m_times.expectedMs(queue, estimateMs); }
   /** \returns the slowdown of a target; 0 with the standard error of the initial estimate if no run counted yet. */
-  TargetPace paceOf(const std::string& target) const;
+  TargetSlowdown slowdownOf(const std::string& target) const;
   /** \returns the run time of a task on a target relative to that on a usual target; 1 is equal, 2 is twice as long. */
   double timeFactor(const std::string& target) const;
   /** \returns the number of target incarnations with an estimate. */
--- a/Courseloom/src/State/RunTimes.h
+++ b/Courseloom/src/State/RunTimes.h
@@ -15,7 +15,8 @@
  *
  * A straight line is fitted by least squares to the logarithms of the run times over those of the estimates. If a
  * queue's estimates are right, they are returned unchanged; if they do not correlate with the run times, the queue's
- * mean run time is returned. Until enough runs have ended, the estimate itself has the largest weight. \sa RunOutlook
+ * mean run time is returned. Until enough runs have ended, the estimate itself has the largest weight. \sa
+ * RunTimeEstimator
  */
 class RunTimes {
  public:
--- a/Courseloom/src/State/WorkflowTable.cpp
+++ b/Courseloom/src/State/WorkflowTable.cpp
@@ -66,7 +66,7 @@
   return found != doneCounts.end() && found->second >= step(key.step).count();
 }
 
-bool WorkflowState::stepWaits(const StepKey& key) const {
+bool WorkflowState::hasWaitingTasks(const StepKey& key) const {
   const auto done = doneCounts.find(key);
   const auto active = activeCounts.find(key);
   const std::uint32_t doneOrActive =
@@ -98,7 +98,7 @@
 }
 
 std::size_t WorkflowState::crashedTargets() const {
-  if (accusedTasks == 0) return 0;
+  if (suspectTasks == 0) return 0;
   std::set<std::string> targets;
   for (const auto& [key, task] : tasks) {
     for (const schema::TargetCrash& crash : task.crashes.crashes()) targets.insert(crash.target());
@@ -109,8 +109,8 @@
 /** If several targets crashed during tasks of one workflow, these tasks are more likely at fault than one such task
  * alone, so each of them needs a trial start. */
 bool WorkflowState::onTrial(const TaskKey& key) const {
-  const TaskState* state = accusedTasks == 0 ? nullptr : task(key);
-  if (state == nullptr || !state->crashes.accused()) return false;
+  const TaskState* state = suspectTasks == 0 ? nullptr : task(key);
+  if (state == nullptr || !state->crashes.suspected()) return false;
   return state->crashes.needsTrial() || crashedTargets() > 1;
 }
 
@@ -218,11 +218,11 @@
                               const schema::RunEnd& end, std::uint64_t timeMs) {
   TaskState& task = workflow.tasks[key];
   if (task.done) return;
-  const bool accusedBefore = task.crashes.accused();
+  const bool accusedBefore = task.crashes.suspected();
   task.crashes.ended(run, end);
-  if (accusedBefore && !task.crashes.accused()) --workflow.accusedTasks;
-  if (!accusedBefore && task.crashes.accused()) ++workflow.accusedTasks;
-  if (workflow.ended() || !task.crashes.convicted()) return;
+  if (accusedBefore && !task.crashes.suspected()) --workflow.suspectTasks;
+  if (!accusedBefore && task.crashes.suspected()) ++workflow.suspectTasks;
+  if (workflow.ended() || !task.crashes.shouldGiveUp()) return;
   endWorkflow(
       workflow, schema::WorkflowFailed,
       "targets crashed under " + taskText(makeTaskId(workflow.record.id(), key)) + ": " + task.crashes.evidence(),
@@ -231,9 +231,9 @@
 
 void WorkflowTable::recordRunTime(const WorkflowState& workflow, const schema::ActiveRun& run,
                                   const schema::RunEnd& end, std::uint64_t timeMs) {
-  if (end.kind() == schema::RunTargetLost) return m_outlook.forget(run.target());
+  if (end.kind() == schema::RunTargetLost) return m_runTimeEstimator.forget(run.target());
   const StepKey step = keyOf(end.task()).stepKey();
-  m_outlook.ran(stepOfRuns(workflow, step), run.target(), static_cast<double>(end.whole_ms()), timeMs);
+  m_runTimeEstimator.ran(stepOfRuns(workflow, step), run.target(), static_cast<double>(end.whole_ms()), timeMs);
 }
 
 /** Marks a task as done. All members of a gang are done when one of them is. */
@@ -247,7 +247,7 @@
     if (!task.done) ++workflow.doneCounts[key.stepKey()];
     task.done = true;
     task.checkpoint.clear();
-    if (task.crashes.accused()) --workflow.accusedTasks;
+    if (task.crashes.suspected()) --workflow.suspectTasks;
     task.crashes = CrashRecord();
   }
 }
@@ -285,11 +285,11 @@
 
 std::vector<RunChange> WorkflowTable::consumeRunChanges() { return std::exchange(m_runChanges, {}); }
 
-std::vector<std::string> WorkflowTable::takeEnded() { return std::exchange(m_justEnded, {}); }
+std::vector<std::string> WorkflowTable::consumeEnded() { return std::exchange(m_justEnded, {}); }
 
 void WorkflowTable::closeIfFinished(const WorkflowState& workflow) {
   if (!workflow.ended() || workflow.activeRuns > 0) return;
-  if (m_open.erase(workflow.record.id()) > 0) m_outlook.closeWorkflow(workflow.record.id());
+  if (m_open.erase(workflow.record.id()) > 0) m_runTimeEstimator.closeWorkflow(workflow.record.id());
 }
 
 void WorkflowTable::expire(std::uint64_t nowMs) {
@@ -304,7 +304,7 @@
 // ---- snapshots
 
 void WorkflowTable::save(schema::StateSnapshot& snapshot) const {
-  m_outlook.save(snapshot);
+  m_runTimeEstimator.save(snapshot);
   *snapshot.mutable_configuration() = m_configuration;
   for (const auto& [id, workflow] : m_workflows) {
     schema::Workflow* saved = snapshot.add_workflows();
@@ -324,7 +324,7 @@
 }
 
 void WorkflowTable::load(const schema::StateSnapshot& snapshot) {
-  m_outlook.load(snapshot);
+  m_runTimeEstimator.load(snapshot);
   m_configuration = snapshot.configuration();
   std::multimap<std::uint64_t, std::string> ended;
   for (const schema::Workflow& saved : snapshot.workflows()) {
@@ -340,7 +340,7 @@
       task.lastRun = row.last_run();
       task.checkpoint = row.checkpoint();
       task.crashes.load(row);
-      if (task.crashes.accused()) ++workflow.accusedTasks;
+      if (task.crashes.suspected()) ++workflow.suspectTasks;
       task.active.assign(row.active().begin(), row.active().end());
       workflow.activeRuns += static_cast<unsigned>(task.active.size());
       if (task.done) ++workflow.doneCounts[key.stepKey()];
--- a/Courseloom/src/State/WorkflowTable.h
+++ b/Courseloom/src/State/WorkflowTable.h
@@ -12,7 +12,7 @@
 
 #include "Courseloom/src/Core/Failure.h"
 #include "Courseloom/src/State/CrashRecord.h"
-#include "Courseloom/src/State/RunOutlook.h"
+#include "Courseloom/src/State/RunTimeEstimator.h"
 #include "generated/state.pb.h"
 #include "generated/workflow.pb.h"
 
@@ -61,7 +61,7 @@
   std::map<StepKey, std::uint32_t> doneCounts;    ///< tasks that are done, by step
   std::map<StepKey, std::uint32_t> activeCounts;  ///< tasks that are not done and have an active run, by step
   unsigned activeRuns = 0;                        ///< of all tasks
-  unsigned accusedTasks = 0;                      ///< tasks whose crash record is not empty
+  unsigned suspectTasks = 0;                      ///< tasks whose crash record is not empty
 
   /** \returns the specification of a step; the index must be valid. */
   const schema::StepSpec& step(std::uint32_t index) const { return record.spec().steps(static_cast<int>(index)); }
@@ -72,7 +72,7 @@
   /** \returns whether all tasks of a step are done. */
   bool stepDone(const StepKey& key) const;
   /** \returns whether any task of a step is neither done nor has an active run. */
-  bool stepWaits(const StepKey& key) const;
+  bool hasWaitingTasks(const StepKey& key) const;
   /** \returns whether all steps that a step depends on are done. */
   bool stepReady(const StepKey& key) const;
   /** \returns the wall-clock time at which an occurrence is due, ms since 1970; of a workflow without occurrences the
@@ -149,12 +149,12 @@
   /** \returns the number of workflows, also of those that ended and are still kept. */
   std::size_t size() const { return m_workflows.size(); }
   /** \returns the run time estimator, updated from the committed runs. */
-  const RunOutlook& outlook() const { return m_outlook; }
+  const RunTimeEstimator& runTimeEstimator() const { return m_runTimeEstimator; }
   /** \returns the starts and ends of runs that were committed since the last call, in order, and clears the list. */
   std::vector<RunChange> consumeRunChanges();
   /** \returns the ids of workflows that ended since the last call, and clears the list; some may still have active
    * runs. */
-  std::vector<std::string> takeEnded();
+  std::vector<std::string> consumeEnded();
 
   /** Adds the configuration, the workflows and the run time estimates to a snapshot. */
   void save(schema::StateSnapshot& snapshot) const;
@@ -184,9 +184,9 @@
   schema::QueueConfiguration m_configuration;
   std::map<std::string, WorkflowState> m_workflows;
   std::set<std::string> m_open;  ///< ids of workflows that have not ended or have active runs
-  RunOutlook m_outlook;
+  RunTimeEstimator m_runTimeEstimator;
   std::vector<RunChange> m_runChanges;                        ///< since the last call of consumeRunChanges()
-  std::vector<std::string> m_justEnded;                       ///< ended since the last call of takeEnded()
+  std::vector<std::string> m_justEnded;                       ///< ended since the last call of consumeEnded()
   std::deque<std::pair<std::uint64_t, std::string>> m_ended;  ///< time of the end and id, oldest first
 };
 
--- a/Courseloom/src/Transport/Http2Connection.cpp
+++ b/Courseloom/src/Transport/Http2Connection.cpp
@@ -245,7 +245,7 @@
     stream->outgoing = std::move(*reply);
   } else {
     status = internal::StatusFailed;
-    stream->outgoing = toInfo(takeFailure(reply)).SerializeAsString();
+    stream->outgoing = toInfo(extractFailure(reply)).SerializeAsString();
   }
   const std::string statusText = std::to_string(status);
   const std::array headers{internal::make_header(":status", statusText)};
--- a/Courseloom/src/Transport/RpcClient.cpp
+++ b/Courseloom/src/Transport/RpcClient.cpp
@@ -37,7 +37,7 @@
 Awaitable<Result<std::string>> RpcClient::callOnStrand(std::string method, std::string body, Time deadline) {
   const auto self = shared_from_this();
   Result<ConnectionPointer> connection = co_await connect(method, deadline);
-  if (!connection) co_return fail(takeFailure(connection));
+  if (!connection) co_return fail(extractFailure(connection));
   const ConnectionPointer held = *connection;
   co_return co_await held->call(std::move(method), std::move(body), deadline);
 }
--- a/Courseloom/src/Transport/RpcClient.h
+++ b/Courseloom/src/Transport/RpcClient.h
@@ -52,7 +52,7 @@
   static Awaitable<Result<Reply>> readReply(std::shared_ptr<RpcClient> self, std::string method, std::string body,
                                             Time deadline) {
     Result<std::string> bytes = co_await self->callBytes(method, std::move(body), deadline);
-    if (!bytes) co_return fail(takeFailure(bytes));
+    if (!bytes) co_return fail(extractFailure(bytes));
     Reply reply;
     if (!reply.ParseFromString(*bytes)) {
       co_return fail(
--- a/Courseloom/src/Transport/RpcServer.h
+++ b/Courseloom/src/Transport/RpcServer.h
@@ -35,7 +35,7 @@
         co_return fail(Failure{FailureCode::BadRequest, Ran::No, method, call.peer, "the message is not readable", 0});
       }
       auto reply = co_await handler(std::move(request), std::move(call.peer));
-      if (!reply) co_return fail(takeFailure(reply));
+      if (!reply) co_return fail(extractFailure(reply));
       co_return reply->SerializeAsString();
     };
   }
--- a/bench/crashes.cpp
+++ b/bench/crashes.cpp
@@ -58,7 +58,7 @@
   unsigned givenUp = 0;
   unsigned falselyGivenUp = 0;
   unsigned mostStarts = 0;
-  unsigned accused = 0;
+  unsigned suspected = 0;
 
   void add(const ReplayResult& result) {
     worth += result.worth();
@@ -67,7 +67,7 @@
     givenUp += result.givenUp;
     falselyGivenUp += result.falselyGivenUp;
     mostStarts = std::max(mostStarts, result.mostStarts);
-    accused += result.accused;
+    suspected += result.suspected;
   }
 };
 
@@ -87,7 +87,7 @@
           "  %-23s worth %.3f  crashes by tasks %u  runs lost %u  accused %u  given up %u  falsely %u  most starts "
           "%u\n",
           rules[v].name.c_str(), rows[v].worth / static_cast<double>(seeds), rows[v].crashes, rows[v].lostRuns,
-          rows[v].accused, rows[v].givenUp, rows[v].falselyGivenUp, rows[v].mostStarts);
+          rows[v].suspected, rows[v].givenUp, rows[v].falselyGivenUp, rows[v].mostStarts);
     }
     std::fflush(stdout);
   }
--- a/bench/planning.cpp
+++ b/bench/planning.cpp
@@ -22,7 +22,8 @@
 constexpr int Rounds = 15;
 
 /** Slowness of targets of three speeds, 0.8, 1 and 1.25 times the usual run time, each known to a tenth. */
-constexpr std::array<TargetPace, 3> Paces{TargetPace{-0.22, 0.1}, TargetPace{0.0, 0.1}, TargetPace{0.22, 0.1}};
+constexpr std::array<TargetSlowdown, 3> Paces{TargetSlowdown{-0.22, 0.1}, TargetSlowdown{0.0, 0.1},
+                                              TargetSlowdown{0.22, 0.1}};
 
 /** \returns the median time of a pass, ms. \param unlike whether targets differ in speed */
 double measure(std::size_t targets, unsigned backlog, bool unlike = false) {
@@ -49,19 +50,20 @@
 /** Time in which a leader looks at what its active runs show: each target has runs of some steps. */
 void measureLearning(std::size_t targets, std::size_t runsEach) {
   std::vector<double> times;
-  RunOutlook log;
+  RunTimeEstimator log;
   for (int round = 0; round < Rounds; ++round) {
     const Time before = BootClock::now();
-    RunOutlook outlook = log;
+    RunTimeEstimator runTimeEstimator = log;
     for (std::size_t t = 0; t < targets; ++t) {
       for (std::size_t r = 0; r < runsEach; ++r) {
         const StepOfRuns step{"workflow-" + std::to_string((t + r) / 20) + ".0.0", "queue", 8000.0, r % 2 == 0};
-        outlook.ran(step, "target-" + std::to_string(t) + "@1790000000000", 7000.0 + static_cast<double>(t), 0);
+        runTimeEstimator.ran(step, "target-" + std::to_string(t) + "@1790000000000", 7000.0 + static_cast<double>(t),
+                             0);
       }
     }
-    outlook.closeAll();
+    runTimeEstimator.closeAll();
     times.push_back(toMilliseconds(BootClock::now() - before));
-    log = std::move(outlook);
+    log = std::move(runTimeEstimator);
   }
   const std::string name =
       "learning, " + std::to_string(targets) + " targets, " + std::to_string(targets * runsEach) + " runs";
--- a/daemons/cli.cpp
+++ b/daemons/cli.cpp
@@ -196,14 +196,14 @@
 
   int histogram() {
     Result<EntryReply> reply = m_client->call("GET", "/metrics", "", CallLimit);
-    if (!reply) return report(takeFailure(reply));
+    if (!reply) return report(extractFailure(reply));
     std::cout << (m_options.output == "table" ? histogramTable(reply->body) : reply->body);
     return CliOk;
   }
 
   int checkSettings() {
     Result<schema::Settings> settings = readSettings(m_options.settingsFiles, [](schema::Settings&) {});
-    if (!settings) return report(takeFailure(settings));
+    if (!settings) return report(extractFailure(settings));
     std::cout << "settings are valid\n";
     return CliOk;
   }
@@ -248,7 +248,7 @@
   std::optional<int> call(const std::string& method, const std::string& path, const std::string& body,
                           google::protobuf::Message& reply, Duration extra = Duration(0)) {
     Result<EntryReply> answer = m_client->call(method, path, body, CallLimit + extra);
-    if (!answer) return report(takeFailure(answer));
+    if (!answer) return report(extractFailure(answer));
     google::protobuf::util::JsonParseOptions options;
     options.ignore_unknown_fields = true;
     if (google::protobuf::util::JsonStringToMessage(answer->body, &reply, options).ok()) return std::nullopt;
@@ -260,7 +260,7 @@
   std::optional<int> readFile(google::protobuf::Message& message) const {
     Result<void> read = readYamlFile(m_options.file, message);
     if (read) read = checkRequired(m_options.file, message);
-    if (!read) return report(takeFailure(read));
+    if (!read) return report(extractFailure(read));
     return std::nullopt;
   }
 
--- a/daemons/control.cpp
+++ b/daemons/control.cpp
@@ -20,7 +20,7 @@
 std::optional<int> runCommand(const courseloom::schema::Settings& settings, const std::string& command) {
   courseloom::Result<std::string> done = runFolderCommand(settings, command);
   if (!done) {
-    std::cerr << "courseloom-control: " << courseloom::takeFailure(done).text() << "\n";
+    std::cerr << "courseloom-control: " << courseloom::extractFailure(done).text() << "\n";
     return courseloom::ExitStorage;
   }
   std::cout << *done;
--- a/test/AgentCrowd.cpp
+++ b/test/AgentCrowd.cpp
@@ -84,7 +84,7 @@
     const schema::AttendRequest request = report(agent);
     Result<schema::AttendReply> reply = co_await agent.control->attend(request, sent + ReportLimit);
     if (!reply) {
-      takeFailure(reply);
+      extractFailure(reply);
       co_await sleepFor(milliseconds(50));
       continue;
     }
--- a/test/LoadReplay.cpp
+++ b/test/LoadReplay.cpp
@@ -259,14 +259,14 @@
     const bool later = !countsAll() && kinds[r] == schema::CrashUnclear;
     end.set_crash(later && outside(run, together) ? schema::NoCrash : kinds[r]);
     const bool innocent = m_jobs[run.job].crashing != run.task;
-    m_result.accused += innocent && end.crash() != schema::NoCrash ? 1 : 0;
+    m_result.suspected += innocent && end.crash() != schema::NoCrash ? 1 : 0;
     end.set_lived(!countsAll() && lives(run));
     WorkflowState& workflow = m_jobs[run.job].workflow;
     CrashRecord& record = workflow.tasks[{0, 0, run.task}].crashes;
-    const bool accused = record.accused();
+    const bool suspected = record.suspected();
     record.ended(active, end);
-    if (accused && !record.accused()) --workflow.accusedTasks;
-    if (!accused && record.accused()) ++workflow.accusedTasks;
+    if (suspected && !record.suspected()) --workflow.suspectTasks;
+    if (!suspected && record.suspected()) ++workflow.suspectTasks;
   }
   ++one.lives;
   one.downUntil = std::max(one.downUntil, untilMs);
@@ -289,13 +289,13 @@
 void LoadReplay::noteEnd(const Run& run, schema::RunEndKind kind) {
   WorkflowState& workflow = m_jobs[run.job].workflow;
   CrashRecord& record = workflow.tasks[{0, 0, run.task}].crashes;
-  if (!record.accused() || run.lost) return;
+  if (!record.suspected() || run.lost) return;
   schema::RunEnd end;
   end.set_kind(kind);
   end.set_lived(!countsAll() && lives(run));
   record.ended({}, end);
   if (kind == schema::RunDone) record = CrashRecord();
-  if (!record.accused()) --workflow.accusedTasks;
+  if (!record.suspected()) --workflow.suspectTasks;
 }
 
 bool LoadReplay::isGivenUp(const Job& job, std::uint32_t task) const {
@@ -312,11 +312,11 @@
     case CrashRule::ThreeLost:
       return crashes.size() >= 3;
     case CrashRule::TwoAlone:
-      return alone >= 2 || state->crashes.convicted();
+      return alone >= 2 || state->crashes.shouldGiveUp();
     case CrashRule::Present:
       break;
   }
-  return state->crashes.convicted();
+  return state->crashes.shouldGiveUp();
 }
 
 std::set<std::size_t> LoadReplay::trialTargets() const {
@@ -406,29 +406,30 @@
 
 /** Brings what is expected of run times up to date. */
 void LoadReplay::learn() {
-  m_outlook = m_ended;
+  m_runTimeEstimator = m_ended;
   for (const Run& run : m_runs) {
     const double seen = run.share - run.began;
     if (m_speeds != SpeedsKnown::FromRuns || seen < TellingShare) continue;
-    m_outlook.ran(stepOf(run), targetName(run.target), run.workedMs / seen, 0);
+    m_runTimeEstimator.ran(stepOf(run), targetName(run.target), run.workedMs / seen, 0);
   }
-  m_outlook.closeAll();
+  m_runTimeEstimator.closeAll();
 }
 
-TargetPace LoadReplay::paceOf(std::size_t target) const {
+TargetSlowdown LoadReplay::slowdownOf(std::size_t target) const {
   if (m_speeds == SpeedsKnown::Nothing) return {};
   if (m_speeds == SpeedsKnown::All) return {std::log(timeFactor(target)), 0.0};
-  return m_outlook.paceOf(targetName(target));
+  return m_runTimeEstimator.slowdownOf(targetName(target));
 }
 
 double LoadReplay::expectedMs(const Job& job) const {
-  return m_outlook.expectedMs(job.workflow.record.queue(), static_cast<double>(job.workflow.step(0).estimate_ms()));
+  return m_runTimeEstimator.expectedMs(job.workflow.record.queue(),
+                                       static_cast<double>(job.workflow.step(0).estimate_ms()));
 }
 
 double LoadReplay::remainingMs(const Run& run) const {
   const double seen = run.share - run.began;
   if (seen >= TellingShare) return (1.0 - run.share) * run.workedMs / seen;
-  return (1.0 - run.share) * expectedMs(m_jobs[run.job]) * std::exp(paceOf(run.target).slowness);
+  return (1.0 - run.share) * expectedMs(m_jobs[run.job]) * std::exp(slowdownOf(run.target).slowness);
 }
 
 std::vector<PlannedTarget> LoadReplay::planTargets() const {
@@ -443,7 +444,7 @@
     target.capacity = Capacity;
     target.open = isOpen(i) && trials.count(i) == 0;
     target.awaited = target.open;
-    target.pace = paceOf(i);
+    target.pace = slowdownOf(i);
   }
   return targets;
 }
@@ -490,7 +491,7 @@
     step.objectiveMs = ClockStartMs + job.dueMs + shape.stretch * step.estimateMs + shape.latencyMs;
     step.worthlessMs = ClockStartMs + job.dueMs + WorthlessAfter * (shape.stretch * step.estimateMs + shape.latencyMs);
     step.waitedMs = m_nowMs - job.readyMs;
-    if (!m_trials || job.workflow.accusedTasks == 0) {
+    if (!m_trials || job.workflow.suspectTasks == 0) {
       steps.push_back(std::move(step));
       continue;
     }
--- a/test/LoadReplay.h
+++ b/test/LoadReplay.h
@@ -14,7 +14,7 @@
 
 #include "Courseloom/src/Scheduling/RunLedger.h"
 #include "Courseloom/src/Scheduling/RunPlanner.h"
-#include "Courseloom/src/State/RunOutlook.h"
+#include "Courseloom/src/State/RunTimeEstimator.h"
 
 namespace courseloom::test {
 
@@ -117,7 +117,7 @@
   unsigned lostRuns = 0;        ///< with a target that crashed
   unsigned givenUp = 0;         ///< workflows with a task that crashes targets
   unsigned falselyGivenUp = 0;  ///< others
-  unsigned accused = 0;         ///< runs that crashed no target and were held against their tasks
+  unsigned suspected = 0;       ///< runs that crashed no target and were held against their tasks
   unsigned mostStarts = 0;      ///< of one task after the third crash that it caused
   /** \returns the share of the worth owed that was earned. */
   double worth() const;
@@ -198,7 +198,7 @@
   void plan();
   StepOfRuns stepOf(const Run& run) const;
   void learn();
-  TargetPace paceOf(std::size_t target) const;
+  TargetSlowdown slowdownOf(std::size_t target) const;
   std::vector<PlannedTarget> planTargets() const;
   std::vector<PlannedRun> planRuns() const;
   std::vector<PlannedStep> planSteps();
@@ -224,8 +224,8 @@
   CrashRule m_crashRule;
   TogetherRule m_together;
   bool m_trials;
-  RunOutlook m_ended;    ///< learnt from runs that have ended
-  RunOutlook m_outlook;  ///< and from those that run
+  RunTimeEstimator m_ended;             ///< learnt from runs that have ended
+  RunTimeEstimator m_runTimeEstimator;  ///< and from those that run
   ReplayResult m_result;
 };
 
--- a/test/control_relay.cpp
+++ b/test/control_relay.cpp
@@ -204,7 +204,7 @@
   Result<schema::AttendReply> reply = co_await client->call<schema::AttendReply>("attend", schema::AttendRequest(),
                                                                                  BootClock::now() + milliseconds(2000));
   if (reply) co_return;
-  const Failure failure = takeFailure(reply);
+  const Failure failure = extractFailure(reply);
   if (failure.code == FailureCode::NoLeader && failure.ran == Ran::No) ++counts.refused;
   if (failure.ran == Ran::Unknown) ++counts.doubtful;
 }
--- a/test/crash_record.cpp
+++ b/test/crash_record.cpp
@@ -103,7 +103,7 @@
   for (int i = 0; i < 3; ++i) runs.crash(schema::CrashUnclear);
   runs.start();
   runs.end(schema::RunTargetLost, schema::CrashUnclear, true);
-  cr_assert_eq(runs.workflow().accusedTasks, 0);
+  cr_assert_eq(runs.workflow().suspectTasks, 0);
   for (int i = 0; i < 4; ++i) runs.crash(schema::CrashUnclear);
   cr_assert_not(runs.givenUp());
   runs.start();
@@ -118,7 +118,7 @@
     runs.end(i % 2 == 0 ? schema::RunTargetLost : schema::RunLapsed);
   }
   cr_assert_not(runs.givenUp());
-  cr_assert_eq(runs.workflow().accusedTasks, 0);
+  cr_assert_eq(runs.workflow().suspectTasks, 0);
 }
 
 Test(crash_record, a_lasting_task_is_bounded_too) {
@@ -150,7 +150,7 @@
   Runs after(makeWorkflow(1));
   after.table = WorkflowTable();
   after.table.load(snapshot);
-  cr_assert_eq(after.workflow().accusedTasks, 1);
+  cr_assert_eq(after.workflow().suspectTasks, 1);
   cr_assert(after.workflow().onTrial({0, 0, 0}));
   after.crash(schema::CrashUnclear);
   cr_assert(after.givenUp(), "one start was left");
--- a/test/load_replay.cpp
+++ b/test/load_replay.cpp
@@ -59,8 +59,8 @@
     const ReplayPattern pattern = wavePatterns(seed, 80)[2];
     ReplayVariant share;
     share.together = TogetherRule::AnEighth;
-    byShare += LoadReplay(pattern, share, seed).play().accused;
-    byOthers += LoadReplay(pattern, {}, seed).play().accused;
+    byShare += LoadReplay(pattern, share, seed).play().suspected;
+    byOthers += LoadReplay(pattern, {}, seed).play().suspected;
   }
   cr_assert_lt(2 * byOthers, byShare, "%u runs accused, %u by a share of the fleet", byOthers, byShare);
 }
--- a/test/log_store.cpp
+++ b/test/log_store.cpp
@@ -55,7 +55,7 @@
   LogStore store(path);
   Result<ReplicaState> state = store.open(cluster, replica);
   cr_assert_not(bool(state));
-  return takeFailure(state);
+  return extractFailure(state);
 }
 
 }  // namespace
@@ -111,7 +111,7 @@
   cr_assert_eq(openFailure(folder.path, "test", 2).code, FailureCode::BadSettings);
   LogStore again(folder.path);
   Result<void> made = again.initialise(identity(), {});
-  cr_assert_eq(takeFailure(made).code, FailureCode::Conflict);
+  cr_assert_eq(extractFailure(made).code, FailureCode::Conflict);
 }
 
 Test(log_store, a_later_format_is_refused) {
--- a/test/platform_formats.cpp
+++ b/test/platform_formats.cpp
@@ -24,7 +24,7 @@
 
 std::string refusal(const std::string& body) {
   Result<schema::QueueConfiguration> read = readConfiguration(body);
-  return read ? std::string() : takeFailure(read).detail;
+  return read ? std::string() : extractFailure(read).detail;
 }
 
 }  // namespace
@@ -124,14 +124,14 @@
   }
   cr_assert_not(bool(readAnnouncement("i-1@1780703512345", R"({"seq":1})")), "an identity that poses as a life");
   cr_assert_not(bool(readAnnouncement("", R"({"seq":1})")));
-  Result<TargetLife> farewell = readFarewell("i-1", R"({"born":7})");
+  Result<TargetIncarnation> farewell = readFarewell("i-1", R"({"born":7})");
   cr_assert(farewell && farewell->name() == "i-1@7");
-  Result<TargetLife> bare = readFarewell("i-1", "");
+  Result<TargetIncarnation> bare = readFarewell("i-1", "");
   cr_assert(bare && bare->name() == "i-1");
-  const TargetLife incarnation = TargetLife::named("i-1@7");
-  cr_assert(incarnation.id == "i-1" && incarnation.bornMs == 7);
+  const TargetIncarnation incarnation = TargetIncarnation::named("i-1@7");
+  cr_assert(incarnation.id == "i-1" && incarnation.startTimeMs == 7);
   Result<TargetAnswer> look = readTargetLook(200, R"({"clock_ms":5,"running":[],"finished":[],"born":7})");
-  cr_assert(look && look->bornMs == 7);
+  cr_assert(look && look->startTimeMs == 7);
 }
 
 Test(platform_formats, names_of_tasks) {
--- a/test/queue_gateway.cpp
+++ b/test/queue_gateway.cpp
@@ -57,7 +57,7 @@
   call.set_kind(kind);
   Result<schema::QueueAnswer> answer = co_await gateway.call(std::move(call), CallerTime);
   end.answered = static_cast<bool>(answer);
-  if (!answer) end.ran = takeFailure(answer).ran;
+  if (!answer) end.ran = extractFailure(answer).ran;
   end.took = BootClock::now() - before;
   end.ended = true;
 }
--- a/test/rpc_outcome.cpp
+++ b/test/rpc_outcome.cpp
@@ -48,7 +48,7 @@
   request.set_body(std::string(size, 'x'));
   const Time deadline = BootClock::now() + milliseconds(400);
   Result<schema::RunReply> reply = co_await client->call<schema::RunReply>("run", request, deadline);
-  if (!reply) failure = takeFailure(reply);
+  if (!reply) failure = extractFailure(reply);
 }
 
 /** \returns what a caller is told by a peer that reads nothing. */
--- a/test/run_agent_fates.cpp
+++ b/test/run_agent_fates.cpp
@@ -194,14 +194,14 @@
     schema::AttendReply answer = grantReply(LongGrantMs);
     if (request.target().id() == "i-1") target->incarnation = "i-2";
     for (const schema::EndReport& end : request.ends()) ended = ended || end.kind() == schema::RunTargetLost;
-    for (const schema::LostRun& lost : request.lost()) accused = accused || lost.crash() != schema::NoCrash;
+    for (const schema::LostRun& lost : request.lost()) suspected = suspected || lost.crash() != schema::NoCrash;
     if (ended) reachable = request.target().reachable();
     orderOnce(request, answer);
     if (request.wait_ms() > 0) co_await sleepFor(milliseconds(20));
     co_return answer;
   }
   bool ended = false;
-  bool accused = false;
+  bool suspected = false;
   bool reachable = true;
 };
 
@@ -226,7 +226,7 @@
   Stage stage(leader);
   stage.run(milliseconds(800));
   cr_assert(leader.ended, "the run was not settled");
-  cr_assert_not(leader.accused, "a run that never began is held against its task");
+  cr_assert_not(leader.suspected, "a run that never began is held against its task");
   cr_assert_not(leader.reachable, "the leader goes on giving orders to a life that is over");
 }
 
--- a/test/run_ledger.cpp
+++ b/test/run_ledger.cpp
@@ -650,7 +650,7 @@
   test.attend(test.report());
   test.start(0, 1);
   test.attend(test.report("life-2"));
-  cr_assert_eq(test.table.find("w")->accusedTasks, 0);
+  cr_assert_eq(test.table.find("w")->suspectTasks, 0);
 }
 
 // An agent that was started anew knows nothing of the order that its former life carried out.
@@ -661,7 +661,7 @@
   test.attend(test.report());
   test.incarnation = 2;
   test.attend(test.report("life-2"));
-  cr_assert_eq(test.table.find("w")->accusedTasks, 1);
+  cr_assert_eq(test.table.find("w")->suspectTasks, 1);
 }
 
 Test(run_ledger, a_run_that_a_former_leader_ordered_is_accused_unless_its_target_was_leaving) {
@@ -674,7 +674,7 @@
     last.mutable_target()->set_draining(leaving);
     test.attend(last);
     test.attend(test.report("life-2"));
-    cr_assert_eq(test.table.find("w")->accusedTasks, leaving ? 0 : 1);
+    cr_assert_eq(test.table.find("w")->suspectTasks, leaving ? 0 : 1);
   }
 }
 
@@ -692,7 +692,7 @@
     test.table.record(runs, 2);
     test.ledger.apply(test.table.consumeRunChanges(), test.now, inherited);
     test.attend(test.report("life-2"));
-    cr_assert_eq(test.table.find("w")->accusedTasks, inherited ? 1 : 0);
+    cr_assert_eq(test.table.find("w")->suspectTasks, inherited ? 1 : 0);
   }
 }
 
@@ -714,14 +714,15 @@
     test.attend(test.report());
     others(false);
     test.attend(withLost(test.report("life-2"), 1, kind, 900));
-    cr_assert_eq(test.table.find("w")->accusedTasks, kind == schema::CrashAtStart ? 1 : 0);
+    cr_assert_eq(test.table.find("w")->suspectTasks, kind == schema::CrashAtStart ? 1 : 0);
   }
 }
 
 namespace {
 
 /** A run that was there for a while is lost, in a fleet of many targets, with others that go at that moment.
- * \returns accused tasks \param others so many targets go too \param sameWork they run another task of the workflow */
+ * \returns suspected tasks \param others so many targets go too \param sameWork they run another task of the workflow
+ */
 unsigned accusedBeside(unsigned others, bool sameWork) {
   constexpr unsigned Fleet = 100;
   LedgerTable test(1 + others);
@@ -747,7 +748,7 @@
   for (unsigned i = 1; i <= others; ++i) report(i, false);
   test.pass(300);
   test.attend(withLost(test.report("life-2"), 1, schema::CrashUnclear, 900));
-  return test.table.find("w")->accusedTasks;
+  return test.table.find("w")->suspectTasks;
 }
 
 }  // namespace
--- a/test/run_outlook.cpp
+++ b/test/run_outlook.cpp
@@ -3,7 +3,7 @@
 
 // What is learnt of run times: how slow targets are, what queues' estimates are worth, and that a snapshot keeps it.
 
-#include "Courseloom/src/State/RunOutlook.h"
+#include "Courseloom/src/State/RunTimeEstimator.h"
 
 #include <cmath>
 #include <random>
@@ -30,8 +30,9 @@
   void gang(const std::vector<std::size_t>& targets) {
     const double workMs = UsualMs * logNormal(0.5);
     const StepOfRuns step{nextStep(), "urgent", workMs * logNormal(0.5), true};
-    for (const std::size_t t : targets) outlook.ran(step, name(t), workMs * factors[t] * logNormal(0.02), ++m_nowMs);
-    outlook.closeWorkflow(std::to_string(m_steps));
+    for (const std::size_t t : targets)
+      runTimeEstimator.ran(step, name(t), workMs * factors[t] * logNormal(0.02), ++m_nowMs);
+    runTimeEstimator.closeWorkflow(std::to_string(m_steps));
   }
   /** Single tasks of one step, one in thirty of them a straggler. */
   void pieces(const std::vector<std::size_t>& targets, std::size_t each) {
@@ -40,10 +41,10 @@
     for (const std::size_t t : targets) {
       for (std::size_t i = 0; i < each; ++i) {
         const double straggles = m_random() % 30 == 0 ? 7.0 : 1.0;
-        outlook.ran(step, name(t), straggles * workMs * factors[t] * logNormal(0.15), ++m_nowMs);
+        runTimeEstimator.ran(step, name(t), straggles * workMs * factors[t] * logNormal(0.15), ++m_nowMs);
       }
     }
-    outlook.closeWorkflow(std::to_string(m_steps));
+    runTimeEstimator.closeWorkflow(std::to_string(m_steps));
   }
   std::vector<std::size_t> some(std::size_t count) {
     std::vector<std::size_t> targets;
@@ -53,10 +54,12 @@
     return targets;
   }
   /** \returns how far apart two targets are believed to be, as a time factor. */
-  double ratio(std::size_t a, std::size_t b) const { return outlook.timeFactor(name(a)) / outlook.timeFactor(name(b)); }
+  double ratio(std::size_t a, std::size_t b) const {
+    return runTimeEstimator.timeFactor(name(a)) / runTimeEstimator.timeFactor(name(b));
+  }
 
   std::vector<double> factors;
-  RunOutlook outlook;
+  RunTimeEstimator runTimeEstimator;
 
  private:
   std::string nextStep() { return std::to_string(++m_steps) + ".0.0"; }
@@ -78,8 +81,8 @@
 
 Test(run_outlook, a_target_that_was_not_seen_is_usual_with_the_error_of_a_guess) {
   const Fleet fleet({1.0});
-  cr_assert_eq(fleet.outlook.paceOf("t0").slowness, 0.0);
-  cr_assert(fleet.outlook.paceOf("t0").error > 0.3);
+  cr_assert_eq(fleet.runTimeEstimator.slowdownOf("t0").slowness, 0.0);
+  cr_assert(fleet.runTimeEstimator.slowdownOf("t0").error > 0.3);
 }
 
 Test(run_outlook, mixed_work_tells_slow_targets_from_slow_steps) {
@@ -102,9 +105,9 @@
   for (int round = 0; round < 5; ++round) fleet.gang({0, 1, 2, 3});
   const StepOfRuns step{"straggling.0.0", "bulk", 4000.0, false};
   for (const char* target : {"t0", "t1", "t2", "t3"}) {
-    fleet.outlook.ran(step, target, std::string(target) == "t3" ? 28000.0 : 4000.0, 100);
+    fleet.runTimeEstimator.ran(step, target, std::string(target) == "t3" ? 28000.0 : 4000.0, 100);
   }
-  fleet.outlook.closeWorkflow("straggling");
+  fleet.runTimeEstimator.closeWorkflow("straggling");
   cr_assert(fleet.ratio(3, 0) < 1.35, "%.2f", fleet.ratio(3, 0));
 }
 
@@ -123,39 +126,39 @@
   Fleet fleet({2.0, 0.5, 2.0, 0.5});
   for (int round = 0; round < 20; ++round) fleet.gang({0, 1, 2, 3});
   // All of the queue's next runs lie on the slow targets; what its tasks ask for stays the same.
-  const double before = fleet.outlook.expectedMs("urgent", UsualMs);
+  const double before = fleet.runTimeEstimator.expectedMs("urgent", UsualMs);
   for (int round = 0; round < 20; ++round) fleet.gang({0, 2});
-  cr_assert_float_eq(fleet.outlook.expectedMs("urgent", UsualMs) / before, 1.0, 0.35);
+  cr_assert_float_eq(fleet.runTimeEstimator.expectedMs("urgent", UsualMs) / before, 1.0, 0.35);
 }
 
 Test(run_outlook, what_is_remembered_is_bounded) {
-  RunOutlook outlook;
-  for (std::size_t t = 0; t < RunOutlook::MostTargets + 100; ++t) {
+  RunTimeEstimator runTimeEstimator;
+  for (std::size_t t = 0; t < RunTimeEstimator::MaxTargets + 100; ++t) {
     const std::string workflow = "w" + std::to_string(t);
-    outlook.ran({workflow + ".0.0", "q", 1000.0, false}, "t" + std::to_string(t), 1500.0, t);
-    outlook.closeWorkflow(workflow);
+    runTimeEstimator.ran({workflow + ".0.0", "q", 1000.0, false}, "t" + std::to_string(t), 1500.0, t);
+    runTimeEstimator.closeWorkflow(workflow);
   }
-  cr_assert_eq(outlook.targets(), RunOutlook::MostTargets);
-  cr_assert(outlook.paceOf("t0").slowness == 0.0, "the one not seen for the longest time went first");
-  outlook.forget("t200");
-  cr_assert_eq(outlook.targets(), RunOutlook::MostTargets - 1);
+  cr_assert_eq(runTimeEstimator.targets(), RunTimeEstimator::MaxTargets);
+  cr_assert(runTimeEstimator.slowdownOf("t0").slowness == 0.0, "the one not seen for the longest time went first");
+  runTimeEstimator.forget("t200");
+  cr_assert_eq(runTimeEstimator.targets(), RunTimeEstimator::MaxTargets - 1);
 }
 
 Test(run_outlook, a_workflow_that_ends_leaves_others_whose_names_begin_alike_open) {
-  RunOutlook outlook;
-  outlook.ran({"w1.0.0", "q", 1000.0, false}, "t", 1500.0, 1);
-  outlook.ran({"w10.0.0", "q", 1000.0, false}, "t", 1500.0, 1);
-  outlook.closeWorkflow("w1");
-  cr_assert_eq(outlook.openSteps(), 1);
+  RunTimeEstimator runTimeEstimator;
+  runTimeEstimator.ran({"w1.0.0", "q", 1000.0, false}, "t", 1500.0, 1);
+  runTimeEstimator.ran({"w10.0.0", "q", 1000.0, false}, "t", 1500.0, 1);
+  runTimeEstimator.closeWorkflow("w1");
+  cr_assert_eq(runTimeEstimator.openSteps(), 1);
 }
 
 // Which target is forgotten first goes by when it was seen; a replica that did not know would forget another one.
 Test(run_outlook, a_snapshot_in_the_middle_of_a_step_changes_nothing_that_follows) {
-  RunOutlook before;
+  RunTimeEstimator before;
   before.ran({"w.0.0", "q", 1000.0, true}, "t1", 1500.0, 7000);
   schema::StateSnapshot snapshot;
   before.save(snapshot);
-  RunOutlook after;
+  RunTimeEstimator after;
   after.load(snapshot);
   schema::StateSnapshot ofBefore;
   schema::StateSnapshot ofAfter;
@@ -172,18 +175,18 @@
   schema::StateSnapshot snapshot;
   snapshot.add_step_sights()->set_step("w.0.0");
   snapshot.add_queue_times()->set_queue("q");
-  RunOutlook outlook;
-  outlook.load(snapshot);
-  outlook.closeAll();
-  cr_assert_eq(outlook.targets(), 0);
-  cr_assert_eq(outlook.expectedMs("q", 1000.0), 1000.0);
+  RunTimeEstimator runTimeEstimator;
+  runTimeEstimator.load(snapshot);
+  runTimeEstimator.closeAll();
+  cr_assert_eq(runTimeEstimator.targets(), 0);
+  cr_assert_eq(runTimeEstimator.expectedMs("q", 1000.0), 1000.0);
 }
 
 Test(run_outlook, values_that_say_nothing_are_passed_over) {
-  RunOutlook outlook;
-  outlook.ran({"s", "q", 0.0, false}, "t", 1500.0, 1);
-  outlook.ran({"s", "q", 1000.0, false}, "t", 0.0, 1);
-  cr_assert_eq(outlook.openSteps(), 0);
+  RunTimeEstimator runTimeEstimator;
+  runTimeEstimator.ran({"s", "q", 0.0, false}, "t", 1500.0, 1);
+  runTimeEstimator.ran({"s", "q", 1000.0, false}, "t", 0.0, 1);
+  cr_assert_eq(runTimeEstimator.openSteps(), 0);
 }
 
 namespace {
@@ -228,13 +231,13 @@
   LogIndex index = 0;
   for (int i = 0; i < 4; ++i) runGang(state, index, "w" + std::to_string(i), true);
   runGang(state, index, "open", false);
-  const RunOutlook& known = state.workflows().outlook();
+  const RunTimeEstimator& known = state.workflows().runTimeEstimator();
   cr_assert(known.timeFactor("slow") > 1.5 * known.timeFactor("fast"));
   ClusterState restored;
   cr_assert(restored.load(state.save()));
-  const RunOutlook& again = restored.workflows().outlook();
-  cr_assert_eq(again.paceOf("slow").slowness, known.paceOf("slow").slowness);
-  cr_assert_eq(again.paceOf("slow").error, known.paceOf("slow").error);
+  const RunTimeEstimator& again = restored.workflows().runTimeEstimator();
+  cr_assert_eq(again.slowdownOf("slow").slowness, known.slowdownOf("slow").slowness);
+  cr_assert_eq(again.slowdownOf("slow").error, known.slowdownOf("slow").error);
   cr_assert_eq(again.expectedMs("q", 1000.0), known.expectedMs("q", 1000.0));
   cr_assert_eq(again.openSteps(), known.openSteps());
   cr_assert_eq(restored.save(), state.save());
@@ -264,7 +267,8 @@
       state.apply(++index, ends);
     }
     cr_assert(state.workflows().find("w")->ended());
-    cr_assert_eq(state.workflows().outlook().openSteps(), 0);
-    cr_assert(state.workflows().outlook().timeFactor("slow") > state.workflows().outlook().timeFactor("fast"));
+    cr_assert_eq(state.workflows().runTimeEstimator().openSteps(), 0);
+    cr_assert(state.workflows().runTimeEstimator().timeFactor("slow") >
+              state.workflows().runTimeEstimator().timeFactor("fast"));
   }
 }
--- a/test/run_planner.cpp
+++ b/test/run_planner.cpp
@@ -496,8 +496,8 @@
 namespace {
 
 /** Slowness of a target on which a task takes 1.7 times as long, known well. */
-const TargetPace Slow = {0.53, 0.05};
-const TargetPace Fast = {-0.36, 0.05};
+const TargetSlowdown Slow = {0.53, 0.05};
+const TargetSlowdown Fast = {-0.36, 0.05};
 
 bool startsOn(const RunPlan& plan, std::size_t target) { return targetsOf(plan).count(target) > 0; }
 
--- a/test/settings.cpp
+++ b/test/settings.cpp
@@ -16,7 +16,7 @@
   schema::Settings settings;
   Result<void> read = readYaml(text, "file.yaml", settings);
   if (read) read = checkRequired("file.yaml", settings);
-  return read ? std::string() : takeFailure(read).text();
+  return read ? std::string() : extractFailure(read).text();
 }
 
 const std::string Node = "node: {name: n, address: 127.0.0.1, dataHall: h}\n";
--- a/test/soak/SoakClients.cpp
+++ b/test/soak/SoakClients.cpp
@@ -150,7 +150,7 @@
     ++m_answers[response->result_int()];
     co_return Answer{response->result_int(), response->body()};
   }
-  const Failure failure = takeFailure(response);
+  const Failure failure = extractFailure(response);
   if (failure.code != FailureCode::TargetUnreachable && took > CloseRace && !disturbed) {
     violation(entry + " left " + method + " " + path + " without its answer after " +
               std::to_string(took.count() / 1000) + " ms: " + failure.text());
--- a/test/story_choice.cpp
+++ b/test/story_choice.cpp
@@ -3,7 +3,7 @@
 
 // Whose lines are logged when there are too many.
 
-#include "Courseloom/src/Core/StoryChoice.h"
+#include "Courseloom/src/Core/LogGroupSampler.h"
 
 #include <xxhash.h>
 
@@ -28,7 +28,7 @@
   std::uint64_t omitted = 0;
 };
 
-Told tell(StoryChoice& choice, std::int64_t fromSecond, std::int64_t seconds, unsigned linesEach) {
+Told tell(LogGroupSampler& choice, std::int64_t fromSecond, std::int64_t seconds, unsigned linesEach) {
   Told told;
   for (std::int64_t second = fromSecond; second < fromSecond + seconds; ++second) {
     unsigned written = 0;
@@ -50,7 +50,7 @@
 
 // Each event dropped what came after its hundredth line of a second, so that no request could be followed by its id.
 Test(story_choice, under_load_some_stories_are_told_whole) {
-  StoryChoice choice(Budget);
+  LogGroupSampler choice(Budget);
   const Told told = tell(choice, 100, 10, 5);
   const auto whole =
       std::count_if(told.lines.begin(), told.lines.end(), [](const auto& one) { return one.second == 50; });
@@ -60,7 +60,7 @@
 }
 
 Test(story_choice, all_are_told_again_once_there_is_room) {
-  StoryChoice choice(Budget);
+  LogGroupSampler choice(Budget);
   tell(choice, 100, 5, 5);
   std::uint64_t omitted = 0;
   choice.admit(nameOf(1), 130, omitted);
@@ -68,7 +68,7 @@
 }
 
 Test(story_choice, what_fits_the_budget_is_all_told) {
-  StoryChoice choice(Stories);
+  LogGroupSampler choice(Stories);
   const Told told = tell(choice, 7, 20, 1);
   cr_assert_eq(told.omitted, 0);
 }
--- a/test/trials.cpp
+++ b/test/trials.cpp
@@ -23,7 +23,7 @@
   end.set_kind(schema::RunTargetLost);
   end.set_crash(kind);
   CrashRecord& record = workflow.tasks[{0, 0, index}].crashes;
-  if (!record.accused()) ++workflow.accusedTasks;
+  if (!record.suspected()) ++workflow.suspectTasks;
   record.ended(run, end);
 }
 
--- a/test/workflow_table.cpp
+++ b/test/workflow_table.cpp
@@ -235,7 +235,7 @@
         table.load(snapshot);
       }
       const WorkflowState& workflow = *table.find("w");
-      cr_assert_eq(workflow.stepWaits({0, 0}), waitsByTasks(workflow, {0, 0}), "seed %llu, act %d",
+      cr_assert_eq(workflow.hasWaitingTasks({0, 0}), waitsByTasks(workflow, {0, 0}), "seed %llu, act %d",
                    static_cast<unsigned long long>(seed), act);
     }
   }
