--- a/test/LoadReplay.h
+++ b/test/LoadReplay.h
@@ -18,186 +18,197 @@
 
 namespace courseloom::test {
 
-/** Kinds of workflow in a replay; each has a queue of its own. */
-enum class ReplayClass : std::uint8_t { Urgent, Gangs, Pieces };
+/** Kinds of workflows in a replay. Each kind has its own queue. */
+enum class ReplayClass : std::uint8_t {
+  Urgent,      ///< urgent gangs
+  Gangs,       ///< gangs of priority 1
+  SingleTasks  ///< single tasks of priority 2
+};
 inline constexpr std::size_t ReplayClasses = 3;
 
-/** Workflows of one kind that come together at one time. */
+/** Arrival of one workflow. */
 struct ReplayArrival {
-  double atMs = 0.0;
+  double atMs = 0.0;  ///< time since the start of the replay, ms
   ReplayClass kind = ReplayClass::Urgent;
 };
 
-/** A time during which something is out of order. */
-struct ReplayTrouble {
-  double fromMs = 0.0;
-  double untilMs = 0.0;
-  double share = 0.0;  ///< of the targets
+/** Period during which a fault affects a share of the targets. */
+struct ReplayFaultPeriod {
+  double fromMs = 0.0;   ///< time since the start of the replay, ms
+  double untilMs = 0.0;  ///< end of the period, as fromMs
+  double share = 0.0;    ///< probability that a target is affected
 };
 
 /** \class ReplayPattern
- * \brief A load: targets, what comes when, and what goes wrong.
+ * \brief A load: targets, arrivals and faults.
  */
 struct ReplayPattern {
   std::string name;
   std::size_t targets = 40;
   std::size_t perRack = 8;
-  std::vector<double> timeFactors = {1.0};  ///< by target in turn, shuffled: run time against the usual one
+  /** Run times relative to the usual one, assigned to the targets in turn and then shuffled. */
+  std::vector<double> timeFactors = {1.0};
   std::vector<ReplayArrival> arrivals;
-  double estimateSpread = 0.5;      ///< standard deviation of the logarithm of urgent estimates against the truth
-  std::vector<ReplayTrouble> dark;  ///< nothing is planned or noticed
-  std::vector<ReplayTrouble> slow;  ///< targets take three times as long
-  std::vector<ReplayTrouble> withdrawals;  ///< targets leave for good 2 s after they said so
-  std::vector<ReplayTrouble> crashes;      ///< targets crash, and are back at the end
-  double crashingShare = 0.0;              ///< of the workflows: one of the tasks crashes each target that starts it
-  double crashAfterMs = 10.0;              ///< from its start
-  double lastsMs = 60000.0;
+  /** Standard deviation of the logarithm of urgent estimates relative to the true run times. */
+  double estimateSpread = 0.5;
+  std::vector<ReplayFaultPeriod> controlOutages;  ///< nothing is planned and no end is processed
+  std::vector<ReplayFaultPeriod> slowPeriods;     ///< run times on the targets are three times as long
+  std::vector<ReplayFaultPeriod> withdrawals;     ///< targets leave permanently, 2 s after their notice at fromMs
+  std::vector<ReplayFaultPeriod> crashes;         ///< targets crash at fromMs and return at untilMs
+  double crashingShare = 0.0;   ///< share of the workflows of which one task crashes each target that starts it
+  double crashAfterMs = 10.0;   ///< time from the start of such a task to the crash
+  double durationMs = 60000.0;  ///< length of the replay
 };
 
-/** \returns the patterns of the bench, drawn from a seed: bursts, targets of different speeds, outages, withdrawals. */
+/** \returns the patterns of the benchmark, drawn from a seed: bursts, targets of different speeds, outages and
+ * withdrawals. */
 std::vector<ReplayPattern> replayPatterns(std::uint64_t seed);
 
-/** What is known of the targets' speeds. */
+/** What the planner knows about the speeds of targets. */
 enum class SpeedsKnown : std::uint8_t {
   Nothing,
-  FromEnds,  ///< learnt from runs that have ended
-  FromRuns,  ///< and from those that run
-  All,       ///< known from the beginning: a bound that nothing can reach
+  FromEnds,  ///< estimated from ended runs
+  FromRuns,  ///< estimated from ended and active runs
+  All,       ///< true speeds, known from the beginning: an upper bound for estimates
 };
 
-/** When a task under which targets have crashed is started no more. */
+/** Rule for when a suspect task is given up and no longer started. */
 enum class CrashRule : std::uint8_t {
   Never,
-  TwoLost,    ///< two targets were lost under it, however long after a start
-  ThreeLost,  ///< three targets
-  TwoAlone,   ///< two crashed right after its start, with nothing else just started there
-  Present,    ///< as CrashRecord says
+  TwoLost,    ///< after two targets were lost while it ran, at any time after its start
+  ThreeLost,  ///< the same with three targets
+  TwoAlone,   ///< after two targets crashed right after its start, with no other recent start there, or as Present
+  Present,    ///< the rule of CrashRecord
 };
 
-/** Which targets that crash at one moment speak for a cause outside of what ran there a while. */
+/** Rule for when crashes at the same moment are attributed to a cause other than the runs that had run there for a
+ * while. */
 enum class TogetherRule : std::uint8_t {
-  AnEighth,   ///< an eighth of all, three at least
-  Three,      ///< any three
-  OtherWork,  ///< as RunLedger says: others that ran nothing of the same workflow
+  AnEighth,   ///< if an eighth of all targets crashes, at least three
+  Three,      ///< if any three targets crash
+  OtherWork,  ///< the rule of RunLedger: if targets crash that ran no task of the same workflow
 };
 
-/** \returns a pattern of each kind of crash: by tasks, of many targets, and both. */
+/** \returns patterns with crashes, drawn from a seed: caused by tasks, of many targets at once, and both. */
 std::vector<ReplayPattern> crashPatterns(std::uint64_t seed);
-/** \returns patterns in which a share of the targets crashes each 3 s, on a number of targets. */
+/** \returns patterns in which a share of the targets crashes every 3 s, drawn from a seed.
+ * \param targets number of targets */
 std::vector<ReplayPattern> wavePatterns(std::uint64_t seed, std::size_t targets);
 
 /** \class ReplayVariant
- * \brief Ways to decide that are compared on the same load.
+ * \brief Settings of the planner, the estimates and the rules; variants are compared on the same load.
  */
 struct ReplayVariant {
   std::string name;
   RunPlannerOptions planner;
   SpeedsKnown speeds = SpeedsKnown::FromRuns;
   CrashRule crashes = CrashRule::Present;
-  bool trials = true;  ///< tasks under which targets have crashed are tried apart
+  bool trials = true;  ///< suspect tasks get trial starts
   TogetherRule together = TogetherRule::OtherWork;
 };
 
 /** \class ReplayResult
- * \brief What a load came to.
+ * \brief Results of one replay.
  */
 struct ReplayResult {
   struct Class {
-    double owed = 0.0;  ///< worth of all workflows, if each ended in time
-    double earned = 0.0;
-    unsigned ended = 0;
-    unsigned late = 0;
-    unsigned unfinished = 0;
+    double owed = 0.0;        ///< worth of all workflows if each ended in time
+    double earned = 0.0;      ///< worth of the workflows that ended, reduced for late ones
+    unsigned ended = 0;       ///< number of workflows that ended, late ones included
+    unsigned late = 0;        ///< number of workflows that ended after their objective
+    unsigned unfinished = 0;  ///< number of workflows that did not end, or ended so late that they were worthless
   };
   std::array<Class, ReplayClasses> classes;
-  double thrownAway = 0.0;  ///< core-seconds
-  double worked = 0.0;      ///< core-seconds
-  unsigned stops = 0;
-  unsigned crashes = 0;         ///< of targets, by tasks
-  unsigned lostRuns = 0;        ///< with a target that crashed
-  unsigned givenUp = 0;         ///< workflows with a task that crashes targets
-  unsigned falselyGivenUp = 0;  ///< others
-  unsigned suspected = 0;       ///< runs that crashed no target and were held against their tasks
-  unsigned mostStarts = 0;      ///< of one task after the third crash that it caused
-  /** \returns the share of the worth owed that was earned. */
+  double thrownAway = 0.0;      ///< work lost with runs that ended early and had no checkpoint, core-seconds
+  double worked = 0.0;          ///< work of runs that completed, core-seconds
+  unsigned stops = 0;           ///< number of runs stopped by the planner
+  unsigned crashes = 0;         ///< number of targets crashed by tasks
+  unsigned lostRuns = 0;        ///< number of runs lost with a crashed target
+  unsigned givenUp = 0;         ///< number of workflows given up that have a task that crashes targets
+  unsigned falselyGivenUp = 0;  ///< number of other workflows given up
+  unsigned suspected = 0;       ///< number of lost runs that crashed no target and yet were counted against their tasks
+  unsigned mostStarts = 0;      ///< maximum number of starts of one task after the third crash that it caused
+  /** \returns earned as a share of owed over all classes, 0 to 1; 0 if nothing is owed. */
   double worth() const;
 };
 
 /** \class LoadReplay
- * \brief Plays arrivals from a seed against the planner and what it learns, on a clock of its own.
+ * \brief Discrete-time simulation of a seeded load with the real planner and run time estimator.
  *
- * No sockets and no replication: a start takes a fixed time, a stop too. A gang works from the moment all its members
- * are there and ends with its slowest. It is no model of the platform and decides nothing by itself: it makes a hundred
- * seeds cheap, where the worth of a played day varies by about 0.09.
+ * The replay uses its own clock, no sockets and no replication. Starts and stops take a fixed time. A gang works from
+ * the moment when all its members are there, and ends with its slowest member. The replay is no model of the platform
+ * and makes no decisions of its own. It makes runs of a hundred seeds affordable; many seeds are needed because the
+ * worth of a single replayed load varies by about 0.09.
  */
 class LoadReplay {
  public:
   LoadReplay(const ReplayPattern& pattern, const ReplayVariant& variant, std::uint64_t seed);
+  /** Runs the whole replay; called once. \returns its results */
   ReplayResult play();
 
  private:
   struct Target {
     double timeFactor = 1.0;
-    double slowFrom = 0.0;
-    double slowUntil = 0.0;
-    double leavesAt = 0.0;  ///< 0 is never
-    double downUntil = 0.0;
-    unsigned lives = 1;
+    double slowFromMs = 0.0;   ///< start of its slow period, ms
+    double slowUntilMs = 0.0;  ///< end of its slow period, ms
+    double leavesAtMs = 0.0;   ///< time when it leaves, ms; 0 means never
+    double downUntilMs = 0.0;  ///< time until which it is down after a crash, ms
+    unsigned incarnation = 1;  ///< number of its current incarnation
   };
   struct Job {
     ReplayClass kind = ReplayClass::Urgent;
     WorkflowState workflow;
-    double dueMs = 0.0;
-    double workMs = 0.0;                ///< longest task on a usual target
-    std::vector<double> taskMs;         ///< by task
-    std::vector<double> saved;          ///< share of a task that is done and saved
-    std::vector<bool> done;             ///< by task
-    std::vector<unsigned> active;       ///< runs by task
-    std::vector<std::uint32_t> number;  ///< last run by task
-    double worth = 0.0;
-    bool saves = false;
-    double readyMs = 0.0;
-    double endedMs = 0.0;                   ///< 0 is not yet
+    double dueMs = 0.0;                     ///< time of its arrival
+    double workMs = 0.0;                    ///< run time of its longest task on a usual target
+    std::vector<double> taskMs;             ///< by task: run time on a usual target
+    std::vector<double> savedShares;        ///< by task: share of the work in its checkpoint
+    std::vector<bool> done;                 ///< by task
+    std::vector<unsigned> active;           ///< by task: number of active runs
+    std::vector<std::uint32_t> number;      ///< by task: number of its last run
+    double worth = 0.0;                     ///< if it ends in time
+    bool writesCheckpoints = false;         ///< its tasks write checkpoints
+    double readyMs = 0.0;                   ///< time since when it waits
+    double endedMs = 0.0;                   ///< 0 until it ends
     std::optional<std::uint32_t> crashing;  ///< the task that crashes targets
-    unsigned crashes = 0;                   ///< that it has caused
-    unsigned startsAfter = 0;               ///< its starts since the third of them
+    unsigned crashes = 0;                   ///< number of crashes that this task has caused
+    unsigned startsAfterThirdCrash = 0;     ///< number of starts of this task since its third crash
     bool givenUp = false;
   };
   struct Run {
-    std::size_t job = 0;
+    std::size_t job = 0;  ///< index
     std::uint32_t task = 0;
     std::size_t target = 0;
-    double fromMs = 0.0;    ///< from when it can work
-    bool lost = false;      ///< with its target
-    bool trial = false;     ///< tried apart
-    double share = 0.0;     ///< of the task that is done
-    double stopAtMs = 0.0;  ///< when a stop that was asked for is carried out; 0 is none
-    double began = 0.0;     ///< share at its start
-    double workedMs = 0.0;
-    double heldMs = 0.0;  ///< beside its work the time for which it waited for its gang to end
-    std::string gang;
+    double fromMs = 0.0;        ///< time from which it can work
+    bool lost = false;          ///< its target has crashed
+    bool trial = false;         ///< trial start of a suspect task
+    double share = 0.0;         ///< share of the task's work that is done
+    double stopAtMs = 0.0;      ///< time at which a requested stop takes effect; 0 if none was requested
+    double shareAtStart = 0.0;  ///< share at its start
+    double workedMs = 0.0;      ///< time for which it worked
+    double heldMs = 0.0;        ///< the same plus the time for which it waited for the rest of its gang to end
+    std::string gang;           ///< empty if it belongs to no gang
   };
 
   void addJob(ReplayClass kind);
-  void arrive();
-  void work();
+  void addArrivals();
+  void advanceRuns();
   void crashTargets();
-  void crash(std::size_t target, double untilMs, const std::vector<std::size_t>& together);
-  bool outside(const Run& run, const std::vector<std::size_t>& together) const;
-  schema::CrashKind kindOf(const Run& run) const;
-  void noteEnd(const Run& run, schema::RunEndKind kind);
-  bool isGivenUp(const Job& job, std::uint32_t task) const;
-  bool lives(const Run& run) const;
-  /** \returns whether each lost target counts against all that ran there. */
-  bool countsAll() const { return m_crashRule == CrashRule::TwoLost || m_crashRule == CrashRule::ThreeLost; }
+  void crash(std::size_t target, double untilMs, const std::vector<std::size_t>& crashing);
+  bool hasOutsideCause(const Run& run, const std::vector<std::size_t>& crashing) const;
+  schema::CrashKind crashKindOf(const Run& run) const;
+  void recordEnd(const Run& run, schema::RunEndKind kind);
+  bool shouldGiveUp(const Job& job, std::uint32_t task) const;
+  bool survivedStart(const Run& run) const;
+  /** \returns whether each lost target counts against all tasks that ran there. */
+  bool countsEveryLoss() const { return m_crashRule == CrashRule::TwoLost || m_crashRule == CrashRule::ThreeLost; }
   std::set<std::size_t> trialTargets() const;
   void endRuns();
   bool gangIsDone(const Run& run) const;
-  void finish(const Run& run);
+  void complete(const Run& run);
   void stopRun(Run& run, bool lost);
   void plan();
   StepOfRuns stepOf(const Run& run) const;
-  void learn();
+  void updateEstimates();
   TargetSlowdown slowdownOf(std::size_t target) const;
   std::vector<PlannedTarget> planTargets() const;
   std::vector<PlannedRun> planRuns() const;
@@ -206,7 +217,7 @@
   double timeFactor(std::size_t target) const;
   double expectedMs(const Job& job) const;
   double remainingMs(const Run& run) const;
-  bool isDark() const;
+  bool inControlOutage() const;
   bool isOpen(std::size_t target) const;
   double between(double least, double most) { return std::uniform_real_distribution<double>(least, most)(m_random); }
   double logNormal(double spread) { return std::exp(std::normal_distribution<double>(0.0, spread)(m_random)); }
@@ -215,17 +226,17 @@
   std::mt19937_64 m_random;
   std::vector<Target> m_targets;
   std::deque<Job> m_jobs;
-  std::map<std::string, std::size_t> m_jobOf;  ///< by workflow
+  std::map<std::string, std::size_t> m_jobByWorkflow;  ///< index of the job by workflow id
   std::vector<Run> m_runs;
-  std::size_t m_arrived = 0;
-  double m_nowMs = 0.0;
+  std::size_t m_arrived = 0;  ///< number of arrivals so far
+  double m_nowMs = 0.0;       ///< time since the start of the replay
   RunPlanner m_planner;
   SpeedsKnown m_speeds;
   CrashRule m_crashRule;
-  TogetherRule m_together;
+  TogetherRule m_commonCauseRule;
   bool m_trials;
-  RunTimeEstimator m_ended;             ///< learnt from runs that have ended
-  RunTimeEstimator m_runTimeEstimator;  ///< and from those that run
+  RunTimeEstimator m_endedRunsEstimator;  ///< fed with ended runs
+  RunTimeEstimator m_runTimeEstimator;    ///< the same plus active runs, if the variant uses them
   ReplayResult m_result;
 };
 
--- a/test/PlannerLoad.cpp
+++ b/test/PlannerLoad.cpp
@@ -11,7 +11,8 @@
 
 constexpr std::int64_t AcceleratorsPerTarget = 8;
 constexpr std::size_t TargetsPerRack = 8;
-constexpr std::size_t BacklogPer = 30;
+/** Number of targets for each unit of the backlog of full(). */
+constexpr std::size_t TargetsPerBacklog = 30;
 constexpr ResourceAmounts TargetCapacity = {128000, 262144, AcceleratorsPerTarget};
 
 }  // namespace
@@ -73,7 +74,7 @@
   for (std::size_t i = 0; i < targets; ++i) {
     for (std::int64_t a = 0; a < AcceleratorsPerTarget; ++a) load.addRun(i, 1, rankOf(2, false), load.between(0, 9500));
   }
-  for (std::size_t i = 0; i < backlog * targets / BacklogPer; ++i) {
+  for (std::size_t i = 0; i < backlog * targets / TargetsPerBacklog; ++i) {
     load.addStep(25, 4, rankOf(1, false), true);
     for (int urgent = 0; urgent < 3; ++urgent) load.addStep(8, 4, UrgentRank, true);
     load.addStep(78, 1, rankOf(2, false), false);
@@ -101,7 +102,7 @@
   }
 }
 
-/** Makes one gang of some runs that are there. */
+/** Joins some of the runs to a gang. */
 void PlannerLoad::drawGang(std::uint32_t number) {
   const Rank rank = below(5);
   const double remainingMs = below(9000);
@@ -143,7 +144,7 @@
   return load;
 }
 
-void PlannerLoad::pass(double ms) {
+void PlannerLoad::advance(double ms) {
   nowMs += ms;
   for (PlannedStep& step : steps) step.waitedMs += ms;
   for (PlannedRun& run : runs) run.remainingMs = std::max(0.0, run.remainingMs - ms);
--- a/test/PlannerLoad.h
+++ b/test/PlannerLoad.h
@@ -13,31 +13,34 @@
 namespace courseloom::test {
 
 /** \class PlannerLoad
- * \brief Targets, runs and waiting steps for a planner, drawn from a seed; the same seed gives the same load.
+ * \brief Input of a planner drawn from a seed: targets, runs and waiting steps. The same seed gives the same load.
  */
 class PlannerLoad {
  public:
+  /** Wall clock at the beginning, ms since 1970. */
   static constexpr double NowMs = 1000000.0;
 
-  /** Every target full of single tasks, and a backlog in proportion: for each 30 targets one gang of 25 times 4
-   * accelerators, three urgent gangs of 8 times 4, and 78 single tasks. \param backlog multiple of that backlog */
+  /** \returns a load in which single tasks occupy all targets, with a backlog in proportion: for each 30 targets one
+   * gang of 25 tasks with 4 accelerators, three urgent gangs of 8 tasks with 4, and 78 single tasks. \param backlog
+   * multiple of this backlog */
   static PlannerLoad full(std::size_t targets, unsigned backlog, std::uint64_t seed);
-  /** Any mix of sizes, racks, services, labels, limits, closed and doubtful targets, gangs and ranks. */
+  /** \returns a random mix of sizes, racks, services, labels, limits, ranks and gangs, with some targets closed or on
+   * probation. */
   static PlannerLoad mixed(std::uint64_t seed);
 
-  /** Lets time pass: runs come nearer to their end and go, steps wait longer. */
-  void pass(double ms);
+  /** Advances the clock: the remaining times of runs shrink, some runs outside gangs end, and steps wait longer. */
+  void advance(double ms);
 
   std::vector<PlannedTarget> targets;
   std::vector<PlannedRun> runs;
   std::vector<PlannedStep> steps;
-  unsigned keepFullyFree = 0;
-  double nowMs = NowMs;
+  unsigned keepFullyFree = 0;  ///< number of targets to be kept fully free for priority 0
+  double nowMs = NowMs;        ///< wall clock, ms since 1970
 
  private:
   explicit PlannerLoad(std::uint64_t seed) : m_random(seed) {}
 
-  /** \returns a number from 0 to below a bound. */
+  /** \returns a random number of at least 0 and less than a bound. */
   std::uint32_t below(std::uint32_t bound) { return static_cast<std::uint32_t>(m_random() % bound); }
   double between(double least, double most) { return std::uniform_real_distribution<double>(least, most)(m_random); }
   bool chance(double share) { return between(0, 1) < share; }
@@ -51,7 +54,7 @@
   void drawStep();
 
   std::mt19937_64 m_random;
-  std::deque<WorkflowState> m_workflows;  ///< one for each step
+  std::deque<WorkflowState> m_workflows;  ///< one for each step; a deque, since steps point to its elements
 };
 
 }  // namespace courseloom::test
--- a/test/run_outlook.cpp
+++ b/test/run_time_estimator.cpp
@@ -1,7 +1,7 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// What is learnt of run times: how slow targets are, what queues' estimates are worth, and that a snapshot keeps it.
+// Tests of RunTimeEstimator: slowdowns of targets, corrections of queues' estimates, and snapshots of both.
 
 #include "Courseloom/src/State/RunTimeEstimator.h"
 
@@ -17,43 +17,45 @@
 
 constexpr double UsualMs = 2000.0;
 
-/** \class Fleet
- * \brief Targets with true time factors, on which steps run.
+/** \class SimulatedTargets
+ * \brief Simulated targets with known time factors, and an estimator that observes the runs on them.
  */
-class Fleet {
+class SimulatedTargets {
  public:
-  explicit Fleet(std::vector<double> given) : factors(std::move(given)) {}
+  explicit SimulatedTargets(std::vector<double> given) : factors(std::move(given)) {}
 
   static std::string name(std::size_t target) { return "t" + std::to_string(target); }
 
-  /** One gang on some targets; its estimate is off. */
-  void gang(const std::vector<std::size_t>& targets) {
+  /** Runs one gang on some targets, with an inaccurate estimate. */
+  void runGang(const std::vector<std::size_t>& targets) {
     const double workMs = UsualMs * logNormal(0.5);
     const StepOfRuns step{nextStep(), "urgent", workMs * logNormal(0.5), true};
     for (const std::size_t t : targets)
       runTimeEstimator.ran(step, name(t), workMs * factors[t] * logNormal(0.02), ++m_nowMs);
     runTimeEstimator.closeWorkflow(std::to_string(m_steps));
   }
-  /** Single tasks of one step, one in thirty of them a straggler. */
-  void pieces(const std::vector<std::size_t>& targets, std::size_t each) {
+  /** Runs single tasks of one step, of which one in thirty is a straggler. \param each number of tasks on each target
+   */
+  void runSingleTasks(const std::vector<std::size_t>& targets, std::size_t each) {
     const double workMs = 4.0 * UsualMs * logNormal(0.3);
     const StepOfRuns step{nextStep(), "bulk", workMs * logNormal(0.2), false};
     for (const std::size_t t : targets) {
       for (std::size_t i = 0; i < each; ++i) {
-        const double straggles = m_random() % 30 == 0 ? 7.0 : 1.0;
-        runTimeEstimator.ran(step, name(t), straggles * workMs * factors[t] * logNormal(0.15), ++m_nowMs);
+        const double stragglerFactor = m_random() % 30 == 0 ? 7.0 : 1.0;
+        runTimeEstimator.ran(step, name(t), stragglerFactor * workMs * factors[t] * logNormal(0.15), ++m_nowMs);
       }
     }
     runTimeEstimator.closeWorkflow(std::to_string(m_steps));
   }
-  std::vector<std::size_t> some(std::size_t count) {
+  /** \returns some targets in random order. */
+  std::vector<std::size_t> randomTargets(std::size_t count) {
     std::vector<std::size_t> targets;
     for (std::size_t i = 0; i < factors.size(); ++i) targets.push_back(i);
     std::shuffle(targets.begin(), targets.end(), m_random);
     targets.resize(std::min(count, targets.size()));
     return targets;
   }
-  /** \returns how far apart two targets are believed to be, as a time factor. */
+  /** \returns the estimated time factor of one target relative to another. */
   double ratio(std::size_t a, std::size_t b) const {
     return runTimeEstimator.timeFactor(name(a)) / runTimeEstimator.timeFactor(name(b));
   }
@@ -72,66 +74,66 @@
 
 }  // namespace
 
-Test(run_outlook, one_gang_tells_its_targets_apart) {
-  Fleet fleet({0.7, 1.7, 0.7, 0.7});
-  fleet.gang({0, 1, 2, 3});
-  cr_assert(fleet.ratio(1, 0) > 1.9, "%.2f of 2.43", fleet.ratio(1, 0));
-  cr_assert_float_eq(fleet.ratio(2, 0), 1.0, 0.1);
+Test(run_time_estimator, one_gang_reveals_the_relative_speeds_of_its_targets) {
+  SimulatedTargets simulated({0.7, 1.7, 0.7, 0.7});
+  simulated.runGang({0, 1, 2, 3});
+  cr_assert(simulated.ratio(1, 0) > 1.9, "%.2f of 2.43", simulated.ratio(1, 0));
+  cr_assert_float_eq(simulated.ratio(2, 0), 1.0, 0.1);
 }
 
-Test(run_outlook, a_target_that_was_not_seen_is_usual_with_the_error_of_a_guess) {
-  const Fleet fleet({1.0});
-  cr_assert_eq(fleet.runTimeEstimator.slowdownOf("t0").slowness, 0.0);
-  cr_assert(fleet.runTimeEstimator.slowdownOf("t0").error > 0.3);
+Test(run_time_estimator, an_unobserved_target_has_no_slowdown_and_a_large_error) {
+  const SimulatedTargets simulated({1.0});
+  cr_assert_eq(simulated.runTimeEstimator.slowdownOf("t0").slowness, 0.0);
+  cr_assert(simulated.runTimeEstimator.slowdownOf("t0").error > 0.3);
 }
 
-Test(run_outlook, mixed_work_tells_slow_targets_from_slow_steps) {
+Test(run_time_estimator, mixed_work_separates_slow_targets_from_slow_steps) {
   std::vector<double> factors;
   for (int i = 0; i < 30; ++i) factors.push_back(i % 3 == 0 ? 1.25 : i % 3 == 1 ? 1.0 : 0.8);
-  Fleet fleet(factors);
+  SimulatedTargets simulated(factors);
   for (int round = 0; round < 15; ++round) {
-    fleet.gang(fleet.some(5));
-    fleet.pieces(fleet.some(8), 5);
+    simulated.runGang(simulated.randomTargets(5));
+    simulated.runSingleTasks(simulated.randomTargets(8), 5);
   }
-  double off = 0.0;
+  double meanError = 0.0;
   for (std::size_t t = 1; t < factors.size(); ++t) {
-    off += std::abs(std::log(fleet.ratio(t, 0)) - std::log(factors[t] / factors[0])) / 29.0;
+    meanError += std::abs(std::log(simulated.ratio(t, 0)) - std::log(factors[t] / factors[0])) / 29.0;
   }
-  cr_assert(off < 0.11, "off by %.2f in the mean, half of what lies between two classes", off);
+  cr_assert(meanError < 0.11, "mean error %.2f, about half the distance between two speed classes", meanError);
 }
 
-Test(run_outlook, one_straggler_does_not_make_its_target_slow) {
-  Fleet fleet({1.0, 1.0, 1.0, 1.0});
-  for (int round = 0; round < 5; ++round) fleet.gang({0, 1, 2, 3});
+Test(run_time_estimator, one_straggler_does_not_make_its_target_slow) {
+  SimulatedTargets simulated({1.0, 1.0, 1.0, 1.0});
+  for (int round = 0; round < 5; ++round) simulated.runGang({0, 1, 2, 3});
   const StepOfRuns step{"straggling.0.0", "bulk", 4000.0, false};
   for (const char* target : {"t0", "t1", "t2", "t3"}) {
-    fleet.runTimeEstimator.ran(step, target, std::string(target) == "t3" ? 28000.0 : 4000.0, 100);
+    simulated.runTimeEstimator.ran(step, target, std::string(target) == "t3" ? 28000.0 : 4000.0, 100);
   }
-  fleet.runTimeEstimator.closeWorkflow("straggling");
-  cr_assert(fleet.ratio(3, 0) < 1.35, "%.2f", fleet.ratio(3, 0));
+  simulated.runTimeEstimator.closeWorkflow("straggling");
+  cr_assert(simulated.ratio(3, 0) < 1.35, "%.2f", simulated.ratio(3, 0));
 }
 
-Test(run_outlook, a_target_that_turns_slow_and_sound_again_is_told_within_three_steps) {
-  Fleet fleet({1.0, 1.0, 1.0, 1.0});
-  for (int round = 0; round < 10; ++round) fleet.gang({0, 1, 2, 3});
-  fleet.factors[3] = 3.0;
-  for (int round = 0; round < 3; ++round) fleet.gang({0, 1, 2, 3});
-  cr_assert(fleet.ratio(3, 0) > 2.0, "%.2f of 3", fleet.ratio(3, 0));
-  fleet.factors[3] = 1.0;
-  for (int round = 0; round < 3; ++round) fleet.gang({0, 1, 2, 3});
-  cr_assert(fleet.ratio(3, 0) < 1.5, "%.2f of 1", fleet.ratio(3, 0));
+Test(run_time_estimator, a_change_of_a_targets_speed_is_detected_within_three_steps) {
+  SimulatedTargets simulated({1.0, 1.0, 1.0, 1.0});
+  for (int round = 0; round < 10; ++round) simulated.runGang({0, 1, 2, 3});
+  simulated.factors[3] = 3.0;
+  for (int round = 0; round < 3; ++round) simulated.runGang({0, 1, 2, 3});
+  cr_assert(simulated.ratio(3, 0) > 2.0, "%.2f of 3", simulated.ratio(3, 0));
+  simulated.factors[3] = 1.0;
+  for (int round = 0; round < 3; ++round) simulated.runGang({0, 1, 2, 3});
+  cr_assert(simulated.ratio(3, 0) < 1.5, "%.2f of 1", simulated.ratio(3, 0));
 }
 
-Test(run_outlook, the_queue_is_learnt_free_of_its_targets) {
-  Fleet fleet({2.0, 0.5, 2.0, 0.5});
-  for (int round = 0; round < 20; ++round) fleet.gang({0, 1, 2, 3});
-  // All of the queue's next runs lie on the slow targets; what its tasks ask for stays the same.
-  const double before = fleet.runTimeEstimator.expectedMs("urgent", UsualMs);
-  for (int round = 0; round < 20; ++round) fleet.gang({0, 2});
-  cr_assert_float_eq(fleet.runTimeEstimator.expectedMs("urgent", UsualMs) / before, 1.0, 0.35);
+Test(run_time_estimator, a_queues_estimate_does_not_depend_on_the_targets_of_its_runs) {
+  SimulatedTargets simulated({2.0, 0.5, 2.0, 0.5});
+  for (int round = 0; round < 20; ++round) simulated.runGang({0, 1, 2, 3});
+  // All later runs of the queue are on the slow targets. The work of its tasks stays the same.
+  const double before = simulated.runTimeEstimator.expectedMs("urgent", UsualMs);
+  for (int round = 0; round < 20; ++round) simulated.runGang({0, 2});
+  cr_assert_float_eq(simulated.runTimeEstimator.expectedMs("urgent", UsualMs) / before, 1.0, 0.35);
 }
 
-Test(run_outlook, what_is_remembered_is_bounded) {
+Test(run_time_estimator, the_number_of_targets_is_bounded) {
   RunTimeEstimator runTimeEstimator;
   for (std::size_t t = 0; t < RunTimeEstimator::MaxTargets + 100; ++t) {
     const std::string workflow = "w" + std::to_string(t);
@@ -139,12 +141,13 @@
     runTimeEstimator.closeWorkflow(workflow);
   }
   cr_assert_eq(runTimeEstimator.targets(), RunTimeEstimator::MaxTargets);
-  cr_assert(runTimeEstimator.slowdownOf("t0").slowness == 0.0, "the one not seen for the longest time went first");
+  cr_assert(runTimeEstimator.slowdownOf("t0").slowness == 0.0,
+            "the target not observed for the longest time is evicted first");
   runTimeEstimator.forget("t200");
   cr_assert_eq(runTimeEstimator.targets(), RunTimeEstimator::MaxTargets - 1);
 }
 
-Test(run_outlook, a_workflow_that_ends_leaves_others_whose_names_begin_alike_open) {
+Test(run_time_estimator, closing_a_workflow_leaves_others_with_the_same_id_prefix_open) {
   RunTimeEstimator runTimeEstimator;
   runTimeEstimator.ran({"w1.0.0", "q", 1000.0, false}, "t", 1500.0, 1);
   runTimeEstimator.ran({"w10.0.0", "q", 1000.0, false}, "t", 1500.0, 1);
@@ -152,8 +155,9 @@
   cr_assert_eq(runTimeEstimator.openSteps(), 1);
 }
 
-// Which target is forgotten first goes by when it was seen; a replica that did not know would forget another one.
-Test(run_outlook, a_snapshot_in_the_middle_of_a_step_changes_nothing_that_follows) {
+// The target not observed for the longest time is evicted first. A replica that lost these times with a snapshot would
+// evict another target.
+Test(run_time_estimator, a_snapshot_during_a_step_does_not_change_later_states) {
   RunTimeEstimator before;
   before.ran({"w.0.0", "q", 1000.0, true}, "t1", 1500.0, 7000);
   schema::StateSnapshot snapshot;
@@ -170,8 +174,8 @@
   cr_assert(ofBefore.SerializeAsString() == ofAfter.SerializeAsString());
 }
 
-// A snapshot of another writer may hold rows that say nothing.
-Test(run_outlook, rows_of_a_snapshot_that_say_nothing_are_passed_over) {
+// A snapshot of another version may have rows without values.
+Test(run_time_estimator, rows_of_a_snapshot_without_values_are_ignored) {
   schema::StateSnapshot snapshot;
   snapshot.add_step_sights()->set_step("w.0.0");
   snapshot.add_queue_times()->set_queue("q");
@@ -182,7 +186,7 @@
   cr_assert_eq(runTimeEstimator.expectedMs("q", 1000.0), 1000.0);
 }
 
-Test(run_outlook, values_that_say_nothing_are_passed_over) {
+Test(run_time_estimator, zero_estimates_and_run_times_are_ignored) {
   RunTimeEstimator runTimeEstimator;
   runTimeEstimator.ran({"s", "q", 0.0, false}, "t", 1500.0, 1);
   runTimeEstimator.ran({"s", "q", 1000.0, false}, "t", 0.0, 1);
@@ -191,8 +195,9 @@
 
 namespace {
 
-/** Commits one workflow of a gang of two, whose members run at different speeds on two targets. */
-void runGang(ClusterState& state, LogIndex& index, const std::string& id, bool finish, bool gang = true) {
+/** Applies the commands of a workflow of two tasks, which run on a fast and a slow target.
+ * \param finish whether the tasks end \param gang whether they form a gang */
+void applyWorkflow(ClusterState& state, LogIndex& index, const std::string& id, bool finish, bool gang = true) {
   const std::uint64_t timeMs = 1000 * (index + 1);
   schema::Command submit;
   submit.set_time_ms(timeMs);
@@ -226,30 +231,29 @@
 
 }  // namespace
 
-Test(run_outlook, a_replica_that_begins_from_a_snapshot_knows_what_the_log_told) {
+Test(run_time_estimator, a_replica_restored_from_a_snapshot_has_the_estimates_from_the_log) {
   ClusterState state;
   LogIndex index = 0;
-  for (int i = 0; i < 4; ++i) runGang(state, index, "w" + std::to_string(i), true);
-  runGang(state, index, "open", false);
-  const RunTimeEstimator& known = state.workflows().runTimeEstimator();
-  cr_assert(known.timeFactor("slow") > 1.5 * known.timeFactor("fast"));
+  for (int i = 0; i < 4; ++i) applyWorkflow(state, index, "w" + std::to_string(i), true);
+  applyWorkflow(state, index, "open", false);
+  const RunTimeEstimator& original = state.workflows().runTimeEstimator();
+  cr_assert(original.timeFactor("slow") > 1.5 * original.timeFactor("fast"));
   ClusterState restored;
   cr_assert(restored.load(state.save()));
-  const RunTimeEstimator& again = restored.workflows().runTimeEstimator();
-  cr_assert_eq(again.slowdownOf("slow").slowness, known.slowdownOf("slow").slowness);
-  cr_assert_eq(again.slowdownOf("slow").error, known.slowdownOf("slow").error);
-  cr_assert_eq(again.expectedMs("q", 1000.0), known.expectedMs("q", 1000.0));
-  cr_assert_eq(again.openSteps(), known.openSteps());
+  const RunTimeEstimator& restoredEstimator = restored.workflows().runTimeEstimator();
+  cr_assert_eq(restoredEstimator.slowdownOf("slow").slowness, original.slowdownOf("slow").slowness);
+  cr_assert_eq(restoredEstimator.slowdownOf("slow").error, original.slowdownOf("slow").error);
+  cr_assert_eq(restoredEstimator.expectedMs("q", 1000.0), original.expectedMs("q", 1000.0));
+  cr_assert_eq(restoredEstimator.openSteps(), original.openSteps());
   cr_assert_eq(restored.save(), state.save());
 }
 
-// Steps of tasks of their own are learnt from, and forgotten, when the last task is done, and when a workflow is
-// cancelled.
-Test(run_outlook, nothing_is_kept_of_a_workflow_that_has_ended) {
+// A step without a gang is evaluated and closed when its last task is done, or after its workflow is cancelled.
+Test(run_time_estimator, no_step_of_an_ended_workflow_stays_open) {
   for (const bool cancelled : {false, true}) {
     ClusterState state;
     LogIndex index = 0;
-    runGang(state, index, "w", false, false);
+    applyWorkflow(state, index, "w", false, false);
     if (cancelled) {
       schema::Command cancel;
       cancel.set_time_ms(5000);
--- a/test/trials.cpp
+++ b/test/trials.cpp
@@ -1,7 +1,7 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// Where tasks are tried under which targets have crashed, and what the rules on them come to on seeded loads.
+// Tests of trial starts of suspect tasks, and of the results of the rules for crashes on seeded loads.
 
 #include "Courseloom/src/Scheduling/Trials.h"
 
@@ -16,7 +16,7 @@
 
 constexpr double NowMs = 1000000.0;
 
-void crash(WorkflowState& workflow, std::uint32_t index, const std::string& target, schema::CrashKind kind) {
+void recordCrash(WorkflowState& workflow, std::uint32_t index, const std::string& target, schema::CrashKind kind) {
   schema::ActiveRun run;
   run.set_target(target);
   schema::RunEnd end;
@@ -55,8 +55,8 @@
   return targets;
 }
 
-/** \returns what a rule on crashes comes to on one pattern over some seeds. */
-ReplayResult play(const std::string& name, CrashRule rule, std::uint64_t seeds) {
+/** \returns the summed results of a rule for crashes on one pattern over some seeds. */
+ReplayResult replay(const std::string& name, CrashRule rule, std::uint64_t seeds) {
   ReplayVariant variant;
   variant.crashes = rule;
   variant.trials = rule == CrashRule::Present;
@@ -76,7 +76,7 @@
 
 }  // namespace
 
-Test(trials, a_step_without_crashes_stays_whole) {
+Test(trials, a_step_without_crashes_is_not_split) {
   WorkflowState workflow;
   const std::vector<PlannedStep> parts = splitForTrial(waitingStep(workflow), 1);
   cr_assert_eq(parts.size(), 1);
@@ -84,30 +84,30 @@
   cr_assert_eq(parts[0].tasks.size(), 4);
 }
 
-Test(trials, a_suspect_is_tried_apart_and_the_others_go_on) {
+Test(trials, a_suspect_task_gets_a_trial_start_and_the_others_continue) {
   WorkflowState workflow;
-  crash(workflow, 2, "t1", schema::CrashAtStart);
+  recordCrash(workflow, 2, "t1", schema::CrashAtStart);
   const std::vector<PlannedStep> parts = splitForTrial(waitingStep(workflow), 1);
   cr_assert_eq(parts.size(), 2);
   cr_assert(parts[0].trial && parts[0].tasks == std::vector<std::uint32_t>{2});
   cr_assert(parts[1].tasks == std::vector<std::uint32_t>({0, 1, 3}));
 }
 
-Test(trials, the_others_wait_once_several_targets_have_crashed) {
+Test(trials, the_other_tasks_wait_after_crashes_of_several_targets) {
   WorkflowState workflow;
-  crash(workflow, 0, "t1", schema::CrashAtStart);
-  crash(workflow, 1, "t2", schema::CrashAtStart);
+  recordCrash(workflow, 0, "t1", schema::CrashAtStart);
+  recordCrash(workflow, 1, "t2", schema::CrashAtStart);
   const std::vector<PlannedStep> parts = splitForTrial(waitingStep(workflow), 1);
   cr_assert_eq(parts.size(), 1);
   cr_assert(parts[0].trial && parts[0].tasks == std::vector<std::uint32_t>{0});
   cr_assert(splitForTrial(waitingStep(workflow), 0).empty());
 }
 
-// Each task that lasts, and each of a guarantee, has a time by which it must begin.
-Test(trials, tasks_that_have_to_begin_wait_for_no_trial) {
+// Long-running tasks and tasks of guarantees have to start within a bound.
+Test(trials, tasks_that_must_start_soon_do_not_wait_for_trials) {
   WorkflowState workflow;
-  crash(workflow, 0, "t1", schema::CrashAtStart);
-  crash(workflow, 1, "t2", schema::CrashAtStart);
+  recordCrash(workflow, 0, "t1", schema::CrashAtStart);
+  recordCrash(workflow, 1, "t2", schema::CrashAtStart);
   PlannedStep step = waitingStep(workflow);
   step.rank = GuaranteedRank;
   cr_assert(mustStartSoon(step));
@@ -116,7 +116,7 @@
   cr_assert_eq(parts[0].tasks.size() + parts[1].tasks.size(), 4);
 }
 
-Test(trials, a_trial_takes_a_target_where_nothing_runs_and_leaves_it_to_no_other) {
+Test(trials, a_trial_prefers_an_empty_target_and_shares_it_with_no_other_start) {
   const std::vector<PlannedTarget> targets = threeTargets();
   std::vector<PlannedRun> runs(2);
   for (std::size_t i = 0; i < runs.size(); ++i) {
@@ -142,7 +142,7 @@
   for (const auto& [target, count] : trials) cr_assert(count <= 1 && stepsOn[target].size() <= 1);
 }
 
-Test(trials, they_keep_few_targets_from_other_work) {
+Test(trials, they_occupy_a_limited_number_of_targets) {
   cr_assert_eq(trialsAllowed(11, 0), 2);
   cr_assert_eq(trialsAllowed(11, 5), 0);
   cr_assert_eq(trialsAllowed(80, 4), 6);
@@ -151,19 +151,19 @@
   cr_assert_eq(trialsOfStep(0, 3), 6);
 }
 
-// Tasks that crash targets are given up within two starts after the third crash, and no other task is.
-Test(trials, on_days_of_tasks_that_crash_targets_only_those_are_given_up) {
+// Tasks that crash targets are given up within two starts after the third crash, and no other tasks are.
+Test(trials, on_loads_with_tasks_that_crash_targets_only_those_are_given_up) {
   for (const char* name : {"tasks crash targets", "tasks crash few targets", "tasks crash targets late"}) {
-    const ReplayResult result = play(name, CrashRule::Present, seedCount(4));
+    const ReplayResult result = replay(name, CrashRule::Present, seedCount(4));
     cr_assert(result.mostStarts <= CrashRecord::StartsLeft, "%s: %u starts", name, result.mostStarts);
     cr_assert_eq(result.falselyGivenUp, 0, "%s", name);
     cr_assert_gt(result.givenUp, 0, "%s", name);
   }
 }
 
-// Where two in five targets crash every three seconds, counting each lost target gives innocent workflows up.
-Test(trials, on_days_of_crashing_targets_no_workflow_is_given_up) {
+// If 40% of the targets crash every 3 s, a rule that counts each lost target gives up workflows that crash nothing.
+Test(trials, on_loads_with_crashing_targets_no_workflow_is_given_up) {
   const std::string name = "targets crash in waves";
-  cr_assert_eq(play(name, CrashRule::Present, seedCount(4)).falselyGivenUp, 0);
-  cr_assert_gt(play(name, CrashRule::TwoLost, seedCount(4)).falselyGivenUp, 0);
+  cr_assert_eq(replay(name, CrashRule::Present, seedCount(4)).falselyGivenUp, 0);
+  cr_assert_gt(replay(name, CrashRule::TwoLost, seedCount(4)).falselyGivenUp, 0);
 }
