--- a/test/cluster_state.cpp
+++ b/test/cluster_state.cpp
@@ -1,7 +1,7 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// Configuration raced and resent, claims, and that a snapshot keeps all of it.
+// Tests of ClusterState: concurrent and retried changes of the configuration, claims, leases, drains, and snapshots.
 
 #include "Courseloom/src/State/ClusterState.h"
 #include "test/main.h"
@@ -10,10 +10,11 @@
 
 namespace {
 
-schema::Command applyWorkspace(const std::string& id, const std::string& who, unsigned weight, std::uint64_t revision) {
+schema::Command applyWorkspace(const std::string& id, const std::string& operatorName, unsigned weight,
+                               std::uint64_t revision) {
   schema::Command command;
   command.set_command_id(id);
-  command.set_operator_name(who);
+  command.set_operator_name(operatorName);
   command.set_time_ms(1000);
   schema::Object* object = command.mutable_apply()->add_objects();
   object->set_name("andes");
@@ -48,7 +49,7 @@
 
 }  // namespace
 
-Test(cluster_state, of_two_operators_with_equal_revisions_one_wins_and_the_other_is_told_by_whom) {
+Test(cluster_state, of_two_changes_of_the_same_revision_the_second_fails_and_names_the_first_operator) {
   ClusterState state;
   state.apply(10, applyWorkspace("c1", "rosa", 1, 0));
   const schema::CommandReply first = state.apply(11, applyWorkspace("c2", "luis", 2, 10));
@@ -59,7 +60,7 @@
   cr_assert_eq(weightOf(state), 2);
 }
 
-Test(cluster_state, a_resent_command_gets_its_first_answer_and_reverts_nothing) {
+Test(cluster_state, a_retried_command_gets_its_first_answer_and_is_not_applied_again) {
   ClusterState state;
   state.apply(10, applyWorkspace("c1", "rosa", 1, 0));
   state.apply(11, applyWorkspace("c2", "luis", 2, 0));
@@ -68,38 +69,39 @@
   const schema::CommandReply again = restored.apply(12, applyWorkspace("c1", "rosa", 1, 0));
   cr_assert(again.replayed());
   cr_assert_eq(again.revision(), 10);
-  cr_assert_eq(weightOf(restored), 2, "the resent command reverted a later change");
-  // Without its id the same command is a new one and does change the weight back: the id is what protects.
+  cr_assert_eq(weightOf(restored), 2, "the retried command reverted a later change");
+  // Without its id the same command is a new one and changes the weight back. Only the id prevents this.
   restored.apply(13, applyWorkspace("", "rosa", 1, 0));
   cr_assert_eq(weightOf(restored), 1);
 }
 
-Test(cluster_state, a_command_id_used_for_another_command_is_refused) {
+Test(cluster_state, a_command_id_used_for_another_command_is_rejected) {
   ClusterState state;
   state.apply(10, applyWorkspace("c1", "rosa", 1, 0));
   cr_assert(state.apply(11, applyWorkspace("c1", "rosa", 9, 0)).failure().code() == "command-id-reused");
 }
 
-Test(cluster_state, a_claim_is_granted_to_one_opener_until_it_is_void) {
+Test(cluster_state, a_claim_is_granted_to_one_opener_until_it_is_voided) {
   ClusterState state;
   const schema::CommandReply first = state.apply(1, openClaim("entry-1", "body"));
   cr_assert(first.granted());
-  cr_assert(state.apply(2, openClaim("entry-1", "body")).granted(), "the opener's own resend");
+  cr_assert(state.apply(2, openClaim("entry-1", "body")).granted(), "a retry by the opener itself");
   cr_assert_not(state.apply(3, openClaim("entry-2", "body")).granted());
   state.apply(4, endClaim(first.claim().token(), schema::ClaimVoid));
   const schema::CommandReply second = state.apply(5, openClaim("entry-2", "body"));
   cr_assert(second.granted());
   cr_assert_eq(second.claim().token().attempt(), 2);
   state.apply(6, endClaim(first.claim().token(), schema::ClaimFinished));
-  cr_assert_eq(state.claims().find("andes", "r1")->phase(), schema::ClaimOpen, "an old attempt ended the new one");
+  cr_assert_eq(state.claims().find("andes", "r1")->phase(), schema::ClaimOpen,
+               "the end of an earlier attempt ended the new one");
   state.apply(7, endClaim(second.claim().token(), schema::ClaimFinished));
-  const schema::CommandReply asked = state.apply(8, openClaim("entry-3", "body"));
-  cr_assert_not(asked.granted());
-  cr_assert_str_eq(asked.claim().answer().body().c_str(), "answer");
+  const schema::CommandReply third = state.apply(8, openClaim("entry-3", "body"));
+  cr_assert_not(third.granted());
+  cr_assert_str_eq(third.claim().answer().body().c_str(), "answer");
   cr_assert(state.apply(9, openClaim("entry-3", "other")).failure().code() == "request-id-reused");
 }
 
-Test(cluster_state, a_follower_far_behind_gets_everything_one_near_gets_deltas) {
+Test(cluster_state, changes_since_a_revision_are_available_only_within_the_history_limit) {
   ClusterState state;
   for (LogIndex i = 1; i <= ObjectTable::MaxHistory + 500; ++i) state.apply(i, applyWorkspace("", "rosa", i % 900, 0));
   std::vector<schema::ObjectChange> changes;
@@ -108,7 +110,7 @@
   cr_assert_eq(changes.size(), 10);
 }
 
-Test(cluster_state, a_selector_acts_on_what_matches_and_a_dry_run_on_nothing) {
+Test(cluster_state, an_action_changes_the_selected_objects_and_a_dry_run_changes_none) {
   ClusterState state;
   state.apply(1, applyWorkspace("", "rosa", 1, 0));
   schema::Command pause;
@@ -122,9 +124,9 @@
   cr_assert(state.apply(3, pause).failure().code() == "bad-selector");
 }
 
-// A new leader that has applied only a part of its predecessor's log may give numbers out again; the platform would
-// take the second job's order for the first one's.
-Test(cluster_state, a_lease_number_is_given_once) {
+// A new leader that has applied only a part of its predecessor's log may assign lease numbers again. The platform would
+// then confuse the orders of two jobs.
+Test(cluster_state, a_lease_number_is_assigned_once) {
   ClusterState state;
   state.apply(10, applyWorkspace("c1", "rosa", 1, 0));
   schema::Command service;
@@ -156,7 +158,7 @@
 
 namespace {
 
-schema::Command actOnHall(schema::ActionKind kind, const std::string& hall, const std::string& commandId = "") {
+schema::Command hallAction(schema::ActionKind kind, const std::string& hall, const std::string& commandId = "") {
   schema::Command command;
   command.set_command_id(commandId);
   command.set_operator_name("ana");
@@ -169,41 +171,42 @@
 
 }  // namespace
 
-Test(cluster_state, a_drain_is_kept_through_repeats_snapshots_and_other_halls) {
+Test(cluster_state, a_drain_persists_through_repeated_commands_snapshots_and_changes_of_other_halls) {
   ClusterState state;
-  const schema::CommandReply reply = state.apply(10, actOnHall(schema::Drain, "hall-1"));
+  const schema::CommandReply reply = state.apply(10, hallAction(schema::Drain, "hall-1"));
   cr_assert_eq(reply.matched_size(), 1);
   cr_assert_str_eq(reply.matched(0).c_str(), "hall/hall-1");
   const std::uint64_t version = state.hallDrains().version();
-  state.apply(11, actOnHall(schema::Drain, "hall-1"));
-  cr_assert_eq(state.hallDrains().version(), version, "sent again, it changes nothing");
-  state.apply(12, actOnHall(schema::Resume, "hall-2"));
+  state.apply(11, hallAction(schema::Drain, "hall-1"));
+  cr_assert_eq(state.hallDrains().version(), version, "a repeated drain changes nothing");
+  state.apply(12, hallAction(schema::Resume, "hall-2"));
   ClusterState restored;
   cr_assert(static_cast<bool>(restored.load(state.save())));
   cr_assert(restored.hallDrains().contains("hall-1"));
   const schema::HallDrain& drain = restored.hallDrains().drains().at("hall-1");
   cr_assert(drain.revision() == 10 && drain.since_ms() == 1000 && drain.operator_name() == "ana");
-  restored.apply(13, actOnHall(schema::Resume, "hall-1"));
+  restored.apply(13, hallAction(schema::Resume, "hall-1"));
   cr_assert(restored.hallDrains().halls().empty());
-  ClusterState returned;
-  cr_assert(static_cast<bool>(returned.load(restored.save())));
-  cr_assert(returned.hallDrains().halls().empty(), "given back, it stays so");
+  ClusterState resumed;
+  cr_assert(static_cast<bool>(resumed.load(restored.save())));
+  cr_assert(resumed.hallDrains().halls().empty(), "a resumed data hall stays resumed");
 }
 
-// The leader fills in the halls that it knows; a resent command may meet another leader, which knows others.
-Test(cluster_state, a_resent_drain_gets_its_first_answer_whatever_halls_are_known_then) {
+// The leader adds the data halls that it knows to the command. A retried command may reach another leader that knows
+// other data halls.
+Test(cluster_state, a_retried_drain_gets_its_first_answer_whatever_halls_the_leader_knows) {
   ClusterState state;
-  state.apply(10, actOnHall(schema::Drain, "hall-1", "c1"));
-  schema::Command resent = actOnHall(schema::Drain, "hall-1", "c1");
-  resent.mutable_action()->clear_halls();
-  const schema::CommandReply reply = state.apply(11, resent);
+  state.apply(10, hallAction(schema::Drain, "hall-1", "c1"));
+  schema::Command retried = hallAction(schema::Drain, "hall-1", "c1");
+  retried.mutable_action()->clear_halls();
+  const schema::CommandReply reply = state.apply(11, retried);
   cr_assert(reply.replayed());
   cr_assert_not(reply.has_failure());
 }
 
-Test(cluster_state, what_names_a_data_hall) {
+Test(cluster_state, names_of_data_halls_are_validated) {
   cr_assert(isHallName("surquillo-a") && isHallName("H_1.2"));
-  for (const std::string& wrong : {std::string(), std::string("a/b"), std::string("a b"), std::string(65, 'x')}) {
-    cr_assert_not(isHallName(wrong), "'%s'", wrong.c_str());
+  for (const std::string& invalid : {std::string(), std::string("a/b"), std::string("a b"), std::string(65, 'x')}) {
+    cr_assert_not(isHallName(invalid), "'%s'", invalid.c_str());
   }
 }
--- a/test/crash_record.cpp
+++ b/test/crash_record.cpp
@@ -1,7 +1,7 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// Which crashes of targets speak against a task, and when it is started no more.
+// Tests of CrashRecord: which crashes of targets make a task suspect, and when the task is given up.
 
 #include "Courseloom/src/State/WorkflowTable.h"
 
@@ -11,23 +11,23 @@
 
 namespace {
 
-schema::Workflow makeWorkflow(unsigned count, bool gang = false, bool lasting = false) {
+schema::Workflow makeWorkflow(unsigned count, bool gang = false, bool longRunning = false) {
   schema::Workflow workflow;
   workflow.set_id("w");
   workflow.set_max_attempts(2);
   schema::StepSpec* step = workflow.mutable_spec()->add_steps();
   step->set_count(count);
   step->set_gang(gang);
-  step->set_long_running(lasting);
+  step->set_long_running(longRunning);
   return workflow;
 }
 
-/** \class Runs
- * \brief Starts and ends of one workflow, each start on a target of its own.
+/** \class RecordedRuns
+ * \brief Records starts and ends of the runs of one workflow. Each start is on another target.
  */
-class Runs {
+class RecordedRuns {
  public:
-  explicit Runs(const schema::Workflow& workflow) { table.submit(workflow, 10); }
+  explicit RecordedRuns(const schema::Workflow& workflow) { table.submit(workflow, 10); }
 
   void start(std::uint32_t index = 0) {
     schema::RecordRuns runs;
@@ -37,7 +37,7 @@
     row->mutable_run()->set_target("t" + std::to_string(++m_targets));
     table.record(runs, 20);
   }
-  void end(schema::RunEndKind kind, schema::CrashKind crash = schema::NoCrash, bool lived = false,
+  void end(schema::RunEndKind kind, schema::CrashKind crash = schema::NoCrash, bool survivedStart = false,
            std::uint32_t index = 0) {
     const TaskState& task = *workflow().task({0, 0, index});
     schema::RecordRuns runs;
@@ -46,7 +46,7 @@
     row->set_run(task.lastRun);
     row->set_kind(kind);
     row->set_crash(crash);
-    row->set_lived(lived);
+    row->set_lived(survivedStart);
     table.record(runs, 30);
   }
   void crash(schema::CrashKind kind, std::uint32_t index = 0) {
@@ -64,8 +64,8 @@
 
 }  // namespace
 
-Test(crash_record, three_crashes_right_after_a_start_with_nothing_else_started_convict) {
-  Runs runs(makeWorkflow(1));
+Test(crash_record, a_task_is_given_up_after_three_crashes_at_its_start_of_which_two_are_isolated) {
+  RecordedRuns runs(makeWorkflow(1));
   runs.crash(schema::CrashAmongStarts);
   runs.crash(schema::CrashAtStart);
   cr_assert_not(runs.givenUp());
@@ -75,9 +75,9 @@
   cr_assert(reason.find("t1 (run 1, CrashAmongStarts)") != std::string::npos, "%s", reason.c_str());
 }
 
-Test(crash_record, crashes_of_any_kind_leave_a_task_two_more_starts) {
+Test(crash_record, after_three_crashes_of_any_kind_a_task_has_two_more_starts) {
   for (const schema::CrashKind kind : {schema::CrashUnclear, schema::CrashAmongStarts}) {
-    Runs runs(makeWorkflow(1));
+    RecordedRuns runs(makeWorkflow(1));
     for (int i = 0; i < 4; ++i) runs.crash(kind);
     cr_assert_not(runs.givenUp());
     runs.crash(kind);
@@ -85,21 +85,21 @@
   }
 }
 
-Test(crash_record, starts_after_the_third_crash_count_however_they_end) {
-  Runs runs(makeWorkflow(1));
+Test(crash_record, starts_after_the_third_crash_count_whatever_their_end) {
+  RecordedRuns runs(makeWorkflow(1));
   for (int i = 0; i < 3; ++i) runs.crash(schema::CrashUnclear);
   runs.start();
   runs.end(schema::RunStopped);
   runs.start();
   runs.end(schema::RunVoided);
-  cr_assert_not(runs.givenUp(), "what never began is no start");
+  cr_assert_not(runs.givenUp(), "a voided run does not count as a start");
   runs.start();
   runs.end(schema::RunLapsed);
   cr_assert(runs.givenUp());
 }
 
-Test(crash_record, a_run_that_lives_clears_its_task) {
-  Runs runs(makeWorkflow(1));
+Test(crash_record, a_run_that_survives_its_start_clears_the_record_of_its_task) {
+  RecordedRuns runs(makeWorkflow(1));
   for (int i = 0; i < 3; ++i) runs.crash(schema::CrashUnclear);
   runs.start();
   runs.end(schema::RunTargetLost, schema::CrashUnclear, true);
@@ -111,8 +111,8 @@
   cr_assert_eq(runs.workflow().record.phase(), schema::WorkflowCompleted);
 }
 
-Test(crash_record, targets_that_leave_or_fall_silent_accuse_no_task) {
-  Runs runs(makeWorkflow(1));
+Test(crash_record, targets_that_leave_or_become_unreachable_make_no_task_suspect) {
+  RecordedRuns runs(makeWorkflow(1));
   for (int i = 0; i < 20; ++i) {
     runs.start();
     runs.end(i % 2 == 0 ? schema::RunTargetLost : schema::RunLapsed);
@@ -121,18 +121,18 @@
   cr_assert_eq(runs.workflow().suspectTasks, 0);
 }
 
-Test(crash_record, a_lasting_task_is_bounded_too) {
-  Runs runs(makeWorkflow(1, false, true));
+Test(crash_record, a_long_running_task_is_given_up_too) {
+  RecordedRuns runs(makeWorkflow(1, false, true));
   for (int i = 0; i < 3; ++i) runs.crash(schema::CrashAtStart);
   cr_assert(runs.givenUp());
 }
 
-Test(crash_record, each_member_of_a_gang_answers_for_itself) {
-  Runs runs(makeWorkflow(3, true));
-  for (std::uint32_t crashes = 0; crashes < 3; ++crashes) {
+Test(crash_record, crashes_are_counted_for_each_member_of_a_gang_separately) {
+  RecordedRuns runs(makeWorkflow(3, true));
+  for (std::uint32_t crashingIndex = 0; crashingIndex < 3; ++crashingIndex) {
     for (std::uint32_t index = 0; index < 3; ++index) runs.start(index);
     for (std::uint32_t index = 0; index < 3; ++index) {
-      const bool lost = index == crashes;
+      const bool lost = index == crashingIndex;
       runs.end(lost ? schema::RunTargetLost : schema::RunBroken, lost ? schema::CrashAtStart : schema::NoCrash, false,
                index);
     }
@@ -142,22 +142,22 @@
   cr_assert(runs.givenUp());
 }
 
-Test(crash_record, a_snapshot_keeps_crashes_and_starts_since) {
-  Runs before(makeWorkflow(1));
+Test(crash_record, a_snapshot_preserves_crashes_and_later_starts) {
+  RecordedRuns before(makeWorkflow(1));
   for (int i = 0; i < 4; ++i) before.crash(schema::CrashUnclear);
   schema::StateSnapshot snapshot;
   before.table.save(snapshot);
-  Runs after(makeWorkflow(1));
+  RecordedRuns after(makeWorkflow(1));
   after.table = WorkflowTable();
   after.table.load(snapshot);
   cr_assert_eq(after.workflow().suspectTasks, 1);
   cr_assert(after.workflow().onTrial({0, 0, 0}));
   after.crash(schema::CrashUnclear);
-  cr_assert(after.givenUp(), "one start was left");
+  cr_assert(after.givenUp(), "only one start was left");
 }
 
-Test(crash_record, an_end_that_is_told_twice_counts_once) {
-  Runs runs(makeWorkflow(1));
+Test(crash_record, an_end_that_is_recorded_twice_counts_once) {
+  RecordedRuns runs(makeWorkflow(1));
   for (int i = 0; i < 2; ++i) {
     runs.crash(schema::CrashAtStart);
     runs.end(schema::RunTargetLost, schema::CrashAtStart);
@@ -165,10 +165,10 @@
   cr_assert_not(runs.givenUp());
 }
 
-Test(crash_record, tasks_are_on_trial_alone_or_with_others_of_their_workflow) {
-  Runs runs(makeWorkflow(2));
+Test(crash_record, a_task_is_on_trial_after_a_second_crash_under_its_workflow) {
+  RecordedRuns runs(makeWorkflow(2));
   runs.crash(schema::CrashAmongStarts, 0);
-  cr_assert_not(runs.workflow().onTrial({0, 0, 0}), "others may have crashed the target");
+  cr_assert_not(runs.workflow().onTrial({0, 0, 0}), "another run may have crashed the target");
   runs.crash(schema::CrashAmongStarts, 1);
   cr_assert(runs.workflow().onTrial({0, 0, 0}), "a second target crashed under its workflow");
 }
--- a/test/load_replay.cpp
+++ b/test/load_replay.cpp
@@ -51,8 +51,8 @@
   cr_assert(gain > 0.1, "%.3f", gain);
 }
 
-// When a tenth of the targets crashed together, repeatedly, a rule by the share of the targets made most tasks that ran
-// there suspect.
+// A tenth of the targets crashed at the same moment, again and again. A rule by the share of the targets made most of
+// the tasks suspect that ran there.
 Test(load_replay, waves_of_crashes_make_few_tasks_suspect_that_ran_for_a_while) {
   unsigned byShare = 0;
   unsigned byOthers = 0;
--- a/test/main.h
+++ b/test/main.h
@@ -3,8 +3,8 @@
 
 #pragma once
 
-/** Shared by all tests: seeds, printed so that a failure can be run again, and small helpers.
- * Criterion's header comes last: its macros break other headers. */
+/** Included by all tests: the seeds of seeded tests. Criterion's header is included last, since its macros break other
+ * headers. */
 
 #include <cstdint>
 #include <cstdio>
@@ -15,13 +15,14 @@
 
 namespace courseloom::test {
 
-/** \returns the number of seeds to run: $COURSELOOM_SEEDS, or the given default. */
-inline std::uint64_t seedCount(std::uint64_t standard) {
+/** \returns the number of seeds to run: $COURSELOOM_SEEDS, or a default if it is not set. */
+inline std::uint64_t seedCount(std::uint64_t defaultCount) {
   const char* text = std::getenv("COURSELOOM_SEEDS");
-  return text == nullptr ? standard : std::strtoull(text, nullptr, 10);
+  return text == nullptr ? defaultCount : std::strtoull(text, nullptr, 10);
 }
 
-/** \returns the first seed: $COURSELOOM_SEED, or 1. */
+/** \returns the first seed to run: $COURSELOOM_SEED, or 1 if it is not set. Tests print the seed of a failure, so that
+ * it can be repeated. */
 inline std::uint64_t firstSeed() {
   const char* text = std::getenv("COURSELOOM_SEED");
   return text == nullptr ? 1 : std::strtoull(text, nullptr, 10);
--- a/test/scheduler_seeded.cpp
+++ b/test/scheduler_seeded.cpp
@@ -1,9 +1,9 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// Seeded runs of the scheduler against a checker that is written apart from it: whole gangs, no accelerator given
-// twice, adjacency, every guarantee reclaimable, and nothing irreplaceable outside a guarantee. Each mechanism is then
-// switched off, and the checker must find a violation.
+// Seeded runs of the scheduler, verified by an independent checker: gangs are complete and adjacent, no accelerator is
+// assigned twice, every guarantee can be reclaimed, and jobs that can be neither repeated nor checkpointed run inside a
+// guarantee. With a mechanism switched off, the checker must find a violation.
 
 #include <algorithm>
 #include <map>
@@ -21,7 +21,7 @@
 constexpr unsigned AcceleratorsPerWorker = 8;
 
 /** \class SchedulerRun
- * \brief A table of workers and jobs around one scheduler, with bursts, ends, lost workers and restarts.
+ * \brief Simulated workers and jobs around one scheduler, with bursts, ends, lost workers and changes of the leader.
  */
 class SchedulerRun {
  public:
@@ -39,28 +39,31 @@
     addGuarantee("g-andes", "andes", 2, 8, schema::SameRack);
     addGuarantee("g-retail", "retail", 4, 2, schema::SameWorker);
     addGuarantee("g-funds", "funds", 3, 4, schema::SameDataHall);
-    newLeader();
+    changeLeader();
   }
 
+  /** \returns the first violation within some steps, or an empty string. */
   std::string run(unsigned steps) {
     for (unsigned step = 0; step < steps && m_violation.empty(); ++step) {
       m_nowMs += 50;
-      if (chance(0.3)) arrive(chance(0.1) ? 10 : 1);
+      if (chance(0.3)) addJobs(chance(0.1) ? 10 : 1);
       if (chance(0.02)) loseOrRestoreWorker();
-      if (chance(0.01)) newLeader();
-      endSome();
-      carryOut();
+      if (chance(0.01)) changeLeader();
+      endRandomJobs();
+      applyDecisions();
       check();
     }
     return m_violation;
   }
 
-  /** \returns how long after its arrival an owner's shape ran with the cluster full of others, in steps. */
+  /** \returns the number of started gangs. */
   std::size_t started() const { return m_started; }
 
  private:
   bool chance(double share) { return std::uniform_real_distribution<double>(0, 1)(m_random) < share; }
-  unsigned any(unsigned least, unsigned most) { return std::uniform_int_distribution<unsigned>(least, most)(m_random); }
+  unsigned randomBetween(unsigned least, unsigned most) {
+    return std::uniform_int_distribution<unsigned>(least, most)(m_random);
+  }
   void fail(const std::string& what) {
     if (m_violation.empty()) m_violation = what;
   }
@@ -78,49 +81,49 @@
     m_guarantees.push_back(object);
   }
 
-  /** Another leader knows the log's jobs and nothing else. */
-  void newLeader() {
+  /** Replaces the scheduler by that of a new leader, which knows the jobs from the log and nothing else. */
+  void changeLeader() {
     m_scheduler = std::make_unique<Scheduler>(m_options);
-    tellWorkers();
+    updateWorkers();
     m_scheduler->setGuarantees(m_guarantees);
     for (const auto& [id, job] : m_jobs) m_scheduler->updateJob(job);
   }
 
-  void tellWorkers() {
-    std::vector<schema::Worker> live;
+  void updateWorkers() {
+    std::vector<schema::Worker> liveWorkers;
     for (const auto& [name, worker] : m_workers) {
-      if (m_lost.count(name) == 0) live.push_back(worker);
+      if (m_lost.count(name) == 0) liveWorkers.push_back(worker);
     }
-    m_scheduler->setWorkers(live);
+    m_scheduler->setWorkers(liveWorkers);
   }
 
-  void arrive(unsigned count) {
+  void addJobs(unsigned count) {
     static const char* const Workspaces[] = {"andes", "retail", "funds", "other"};
     for (unsigned i = 0; i < count; ++i) {
       schema::Job job;
       job.set_id("j" + std::to_string(m_nextJob++));
       job.set_submitted_ms(m_nowMs);
       schema::JobSpec* spec = job.mutable_spec();
-      spec->set_workspace(Workspaces[any(0, 3)]);
+      spec->set_workspace(Workspaces[randomBetween(0, 3)]);
       spec->set_service("s");
-      spec->mutable_shape()->set_tasks(any(1, 4));
-      spec->mutable_shape()->set_accelerators(1U << any(0, 3));
-      spec->mutable_shape()->set_cores(any(1, 10));
-      spec->mutable_shape()->set_adjacency(static_cast<schema::Adjacency>(any(0, 3)));
+      spec->mutable_shape()->set_tasks(randomBetween(1, 4));
+      spec->mutable_shape()->set_accelerators(1U << randomBetween(0, 3));
+      spec->mutable_shape()->set_cores(randomBetween(1, 10));
+      spec->mutable_shape()->set_adjacency(static_cast<schema::Adjacency>(randomBetween(0, 3)));
       if (spec->shape().adjacency() == schema::SameWorker) spec->mutable_shape()->set_tasks(1);
       spec->set_not_repeatable(chance(0.3));
       spec->set_checkpointable(chance(0.5));
-      spec->set_urgency(static_cast<schema::Urgency>(any(0, 2)));
-      spec->set_expected_ms(any(1, 100) * 50);
+      spec->set_urgency(static_cast<schema::Urgency>(randomBetween(0, 2)));
+      spec->set_expected_ms(randomBetween(1, 100) * 50);
       m_jobs[job.id()] = job;
       m_scheduler->updateJob(job);
     }
   }
 
   void loseOrRestoreWorker() {
-    const std::string name = "w" + std::to_string(any(0, 11));
+    const std::string name = "w" + std::to_string(randomBetween(0, 11));
     if (m_lost.erase(name) == 0) m_lost.insert(name);
-    tellWorkers();
+    updateWorkers();
     for (const std::string& id : m_scheduler->brokenJobs()) requeue(id);
     for (auto& [id, job] : m_jobs) m_scheduler->updateJob(job);
   }
@@ -133,23 +136,23 @@
     m_scheduler->updateJob(job);
   }
 
-  void endSome() {
+  void endRandomJobs() {
     for (auto at = m_jobs.begin(); at != m_jobs.end();) {
       schema::Job job = at->second;
-      const bool ends = job.phase() == schema::JobRunning && chance(0.05);
+      const bool hasEnded = job.phase() == schema::JobRunning && chance(0.05);
       ++at;
-      if (!ends) continue;
+      if (!hasEnded) continue;
       job.set_phase(schema::JobFinished);
       m_scheduler->updateJob(job);
       m_jobs.erase(job.id());
     }
   }
 
-  void carryOut() {
+  void applyDecisions() {
     for (const Decision& decision : m_scheduler->decide(m_nowMs)) {
       schema::Job& job = m_jobs.at(decision.job);
       if (decision.kind == DecisionKind::Reclaim) {
-        if (!job.guarantee().empty()) fail(job.id() + " was reclaimed out of its guarantee");
+        if (!job.guarantee().empty()) fail(job.id() + " was reclaimed although it runs inside a guarantee");
         requeue(decision.job);
         continue;
       }
@@ -170,10 +173,10 @@
     }
   }
 
-  // ---- the checker: counts everything anew from the jobs alone
+  // ---- the checker, which derives everything from the jobs alone
 
   void check() {
-    std::map<std::string, std::set<unsigned>> held;     // by everybody
+    std::map<std::string, std::set<unsigned>> held;     // by all gangs
     std::map<std::string, std::set<unsigned>> charged;  // by gangs inside guarantees
     std::map<std::string, unsigned> used;
     for (const auto& [id, job] : m_jobs) {
@@ -182,7 +185,7 @@
       for (const schema::Lease& lease : job.leases()) {
         if (m_lost.count(lease.worker()) > 0) fail(id + " runs on a lost worker");
         for (const unsigned accelerator : lease.accelerators()) {
-          if (!held[lease.worker()].insert(accelerator).second) fail("an accelerator is given twice");
+          if (!held[lease.worker()].insert(accelerator).second) fail("an accelerator is assigned twice");
           if (!job.guarantee().empty()) charged[lease.worker()].insert(accelerator);
         }
       }
@@ -209,13 +212,16 @@
       fail(job.id() + " can be neither repeated nor checkpointed, and runs outside a guarantee");
   }
 
-  /** Whole workers and halves suffice here: tries all groups for all guarantees, by search with going back. */
+  /** \returns whether the guarantees from one on fit into the free accelerators. Tries all groups for all guarantees by
+   * backtracking. Counts of accelerators suffice, since a task of each guarantee here needs a whole, half or quarter
+   * worker. \param next index of the first guarantee \param free accelerators by worker \param used tasks by guarantee
+   */
   bool fits(std::size_t next, std::map<std::string, unsigned>& free, const std::map<std::string, unsigned>& used) {
     if (next == m_guarantees.size()) return true;
     const schema::Object& guarantee = m_guarantees[next];
     const schema::Shape& shape = guarantee.guarantee().shape();
-    const auto in_use = used.find(guarantee.name());
-    const unsigned rest = shape.tasks() - std::min(shape.tasks(), in_use == used.end() ? 0U : in_use->second);
+    const auto inUse = used.find(guarantee.name());
+    const unsigned rest = shape.tasks() - std::min(shape.tasks(), inUse == used.end() ? 0U : inUse->second);
     if (rest == 0) return fits(next + 1, free, used);
     std::map<std::string, std::vector<std::string>> groups;
     for (const auto& [name, worker] : m_workers) {
@@ -236,11 +242,11 @@
     if (rest == 0) return fits(next + 1, free, used);
     if (at == members.size()) return false;
     const unsigned each = m_guarantees[next].guarantee().shape().accelerators();
-    unsigned& room = free[members[at]];
-    for (int take = static_cast<int>(std::min(rest, room / each)); take >= 0; --take) {
-      room -= static_cast<unsigned>(take) * each;
-      const bool placed = placeTasks(next, members, at + 1, rest - static_cast<unsigned>(take), free, used);
-      room += static_cast<unsigned>(take) * each;
+    unsigned& freeAccelerators = free[members[at]];
+    for (int count = static_cast<int>(std::min(rest, freeAccelerators / each)); count >= 0; --count) {
+      freeAccelerators -= static_cast<unsigned>(count) * each;
+      const bool placed = placeTasks(next, members, at + 1, rest - static_cast<unsigned>(count), free, used);
+      freeAccelerators += static_cast<unsigned>(count) * each;
       if (placed) return true;
     }
     return false;
@@ -250,18 +256,19 @@
                        const std::map<std::string, unsigned>& used) {
     std::map<std::string, unsigned> free;
     for (const auto& [name, worker] : m_workers) {
-      const auto taken = charged.find(name);
-      free[name] =
-          m_lost.count(name) > 0
-              ? 0
-              : AcceleratorsPerWorker - static_cast<unsigned>(taken == charged.end() ? 0 : taken->second.size());
+      const auto chargedHere = charged.find(name);
+      free[name] = m_lost.count(name) > 0
+                       ? 0
+                       : AcceleratorsPerWorker -
+                             static_cast<unsigned>(chargedHere == charged.end() ? 0 : chargedHere->second.size());
     }
     const bool possible = fits(0, free, used);
-    // Lost workers may break a guarantee; the scheduler must then have said so. Its own decisions may not.
-    bool said = false;
-    for (const schema::GuaranteeStatus& status : m_scheduler->guaranteeStatus()) said = said || !status.witnessed();
-    if (!possible && !said) fail("a guarantee cannot be reclaimed, and nobody was told");
-    if (!possible && m_lost.empty()) fail("a guarantee cannot be reclaimed with every worker live");
+    // Lost workers may make a guarantee impossible, and the scheduler must then report it. Its own decisions must not.
+    bool reported = false;
+    for (const schema::GuaranteeStatus& status : m_scheduler->guaranteeStatus())
+      reported = reported || !status.witnessed();
+    if (!possible && !reported) fail("a guarantee cannot be reclaimed, and its status does not say so");
+    if (!possible && m_lost.empty()) fail("a guarantee cannot be reclaimed although no worker is lost");
   }
 
   SchedulerOptions m_options;
@@ -293,7 +300,7 @@
   cr_assert(violation.empty(), "%s", violation.c_str());
 }
 
-Test(scheduler_seeded, work_gets_started) {
+Test(scheduler_seeded, gangs_are_started) {
   SchedulerRun run(1, {});
   run.run(1000);
   cr_assert(run.started() > 200, "only %zu gangs started", run.started());
--- a/test/workflow_table.cpp
+++ b/test/workflow_table.cpp
@@ -1,7 +1,7 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// What the log knows of workflows, their tasks and their runs.
+// Tests of WorkflowTable: the replicated state of workflows, their tasks and their runs.
 
 #include "Courseloom/src/State/WorkflowTable.h"
 
@@ -49,8 +49,8 @@
   return table.find(id)->record.phase();
 }
 
-/** \returns whether a step waits, told from each of its tasks. */
-bool waitsByTasks(const WorkflowState& workflow, const StepKey& step) {
+/** \returns whether a step has waiting tasks, determined by examining each task. */
+bool hasWaitingTasksByScan(const WorkflowState& workflow, const StepKey& step) {
   for (std::uint32_t i = 0; i < workflow.step(step.step).count(); ++i) {
     const TaskState* task = workflow.task({step.occurrence, step.step, i});
     if (task == nullptr || (!task->done && task->active.empty())) return true;
@@ -60,7 +60,7 @@
 
 }  // namespace
 
-Test(workflow_table, the_highest_version_holds) {
+Test(workflow_table, the_configuration_with_the_highest_version_is_kept) {
   WorkflowTable table;
   schema::QueueConfiguration configuration;
   configuration.set_version(7);
@@ -74,31 +74,31 @@
   cr_assert(table.configuration().source() == "seven");
 }
 
-Test(workflow_table, the_same_id_is_the_same_workflow) {
+Test(workflow_table, a_workflow_with_a_known_id_is_not_submitted_again) {
   WorkflowTable table;
   cr_assert(table.submit(makeWorkflow("w", 1), 10));
   cr_assert_not(table.submit(makeWorkflow("w", 5), 11));
   cr_assert_eq(table.find("w")->step(0).count(), 1);
 }
 
-Test(workflow_table, a_task_has_one_run_at_a_time_and_numbers_rise) {
+Test(workflow_table, a_task_has_one_run_at_a_time_and_run_numbers_increase) {
   WorkflowTable table;
   table.submit(makeWorkflow("w", 2), 10);
   start(table, "w", {0, 0, 0}, 1);
   start(table, "w", {0, 0, 0}, 2);
-  cr_assert_eq(table.find("w")->activeRuns, 1, "the second start must be passed over");
+  cr_assert_eq(table.find("w")->activeRuns, 1, "a start during an active run must be ignored");
   end(table, "w", {0, 0, 0}, 1, schema::RunLapsed, "half");
   start(table, "w", {0, 0, 0}, 1);
-  cr_assert_eq(table.find("w")->activeRuns, 0, "a number is used once");
+  cr_assert_eq(table.find("w")->activeRuns, 0, "a run number is used once");
   cr_assert_eq(table.find("w")->nextRun({0, 0, 0}), 2);
   cr_assert(table.find("w")->checkpointOf({0, 0, 0}) == "half");
   start(table, "w", {0, 0, 0}, 2);
   end(table, "w", {0, 0, 0}, 2, schema::RunDone);
   start(table, "w", {0, 0, 0}, 3);
-  cr_assert_eq(table.find("w")->activeRuns, 0, "what is done never starts again");
+  cr_assert_eq(table.find("w")->activeRuns, 0, "a done task is not started again");
 }
 
-Test(workflow_table, completed_only_when_every_task_of_every_occurrence_is_done) {
+Test(workflow_table, a_workflow_is_completed_when_every_task_of_every_occurrence_is_done) {
   WorkflowTable table;
   schema::Workflow workflow = makeWorkflow("w", 1);
   workflow.mutable_spec()->add_steps()->set_count(1);
@@ -120,19 +120,19 @@
   cr_assert_eq(phaseOf(table, "w"), schema::WorkflowCompleted);
 }
 
-Test(workflow_table, one_member_done_counts_for_its_gang) {
+Test(workflow_table, a_gang_is_done_when_one_member_is_done) {
   WorkflowTable table;
   table.submit(makeWorkflow("w", 3, true), 10);
   for (std::uint32_t i = 0; i < 3; ++i) start(table, "w", {0, 0, i}, 1);
   end(table, "w", {0, 0, 1}, 1, schema::RunDone);
   cr_assert_eq(phaseOf(table, "w"), schema::WorkflowCompleted);
-  cr_assert_eq(table.open().count("w"), 1, "its other members have not ended yet");
+  cr_assert_eq(table.open().count("w"), 1, "its other members are still active");
   end(table, "w", {0, 0, 0}, 1, schema::RunDone);
   end(table, "w", {0, 0, 2}, 1, schema::RunLapsed);
   cr_assert_eq(table.open().count("w"), 0);
 }
 
-Test(workflow_table, attempts_count_failures_only_and_one_run_of_a_gang_once) {
+Test(workflow_table, only_failures_count_as_attempts_and_a_failed_gang_counts_once) {
   WorkflowTable table;
   table.submit(makeWorkflow("w", 2, true), 10);
   for (std::uint32_t run = 1; run <= 4; ++run) {
@@ -144,7 +144,7 @@
   }
 }
 
-Test(workflow_table, the_last_attempt_is_known_for_a_task_and_for_a_whole_gang) {
+Test(workflow_table, the_last_attempt_is_determined_by_task_or_by_gang) {
   WorkflowTable table;
   table.submit(makeWorkflow("gang", 2, true), 10);
   table.submit(makeWorkflow("pieces", 2), 10);
@@ -155,10 +155,10 @@
     cr_assert(table.find(id)->onLastAttempt({0, 0, 0}));
   }
   cr_assert(table.find("gang")->onLastAttempt({0, 0, 1}));
-  cr_assert_not(table.find("pieces")->onLastAttempt({0, 0, 1}), "it has not failed");
+  cr_assert_not(table.find("pieces")->onLastAttempt({0, 0, 1}), "this task has not failed");
 }
 
-Test(workflow_table, what_lasts_is_neither_done_nor_failed) {
+Test(workflow_table, a_long_running_workflow_is_neither_completed_nor_failed) {
   WorkflowTable table;
   schema::Workflow workflow = makeWorkflow("w", 1);
   workflow.mutable_spec()->mutable_steps(0)->set_long_running(true);
@@ -174,7 +174,7 @@
   cr_assert_eq(table.find("w")->activeRuns, 0);
 }
 
-Test(workflow_table, starts_beyond_a_workflow_are_passed_over) {
+Test(workflow_table, starts_of_tasks_outside_a_workflow_are_ignored) {
   WorkflowTable table;
   table.submit(makeWorkflow("w", 1), 10);
   start(table, "w", {0, 0, 1}, 1);
@@ -185,7 +185,7 @@
   cr_assert_not(table.cancel("other", 20));
 }
 
-Test(workflow_table, a_snapshot_brings_everything_back) {
+Test(workflow_table, a_snapshot_preserves_the_whole_state) {
   WorkflowTable table;
   table.submit(makeWorkflow("w", 2), 10);
   start(table, "w", {0, 0, 0}, 1);
@@ -205,7 +205,7 @@
   cr_assert_eq(phaseOf(loaded, "w"), schema::WorkflowFailed, "failures before the snapshot count");
 }
 
-Test(workflow_table, ended_ones_are_forgotten_after_their_time) {
+Test(workflow_table, ended_workflows_expire_after_the_retention_period) {
   WorkflowTable table(1000);
   table.submit(makeWorkflow("w", 1), 10);
   table.cancel("w", 50);
@@ -215,15 +215,16 @@
   cr_assert_eq(table.find("w"), nullptr);
 }
 
-// Each pass of the planner looked at every task of every open step to find those that wait.
-Test(workflow_table, whether_a_step_waits_is_known_without_a_look_at_its_tasks) {
+// The planner asks for each open step in each pass, so the answer must not need an examination of all tasks. This test
+// compares it with such an examination.
+Test(workflow_table, waiting_steps_are_known_without_examining_their_tasks) {
   for (std::uint64_t seed = firstSeed(); seed < firstSeed() + seedCount(200); ++seed) {
     std::mt19937_64 random(seed);
     WorkflowTable table;
     const bool gang = random() % 2 == 0;
     const unsigned count = 1 + random() % 4;
     table.submit(makeWorkflow("w", count, gang), 10);
-    for (int act = 0; act < 40; ++act) {
+    for (int action = 0; action < 40; ++action) {
       const TaskKey key{0, 0, static_cast<std::uint32_t>(random() % count)};
       const auto run = static_cast<std::uint32_t>(1 + random() % 6);
       const auto kind = static_cast<schema::RunEndKind>(random() % schema::RunEndKind_ARRAYSIZE);
@@ -235,8 +236,8 @@
         table.load(snapshot);
       }
       const WorkflowState& workflow = *table.find("w");
-      cr_assert_eq(workflow.hasWaitingTasks({0, 0}), waitsByTasks(workflow, {0, 0}), "seed %llu, act %d",
-                   static_cast<unsigned long long>(seed), act);
+      cr_assert_eq(workflow.hasWaitingTasks({0, 0}), hasWaitingTasksByScan(workflow, {0, 0}), "seed %llu, action %d",
+                   static_cast<unsigned long long>(seed), action);
     }
   }
 }
