--- a/test/LoadReplay.h
+++ b/test/LoadReplay.h
@@ -44,11 +44,11 @@
  */
 struct ReplayPattern {
   std::string name;
-  std::size_t targets = 40;
-  std::size_t perRack = 8;
+  std::size_t targets = 40;  ///< number of targets
+  std::size_t perRack = 8;   ///< number of targets in a rack
   /** Run times relative to the usual one, assigned to the targets in turn and then shuffled. */
   std::vector<double> timeFactors = {1.0};
-  std::vector<ReplayArrival> arrivals;
+  std::vector<ReplayArrival> arrivals;  ///< in ascending order of time
   /** Standard deviation of the logarithm of urgent estimates relative to the true run times. */
   double estimateSpread = 0.5;
   std::vector<ReplayFaultPeriod> controlOutages;  ///< nothing is planned and no end is processed
--- a/test/run_planner_reference.cpp
+++ b/test/run_planner_reference.cpp
@@ -138,7 +138,7 @@
     }
   }
   cr_log_info(
-      "%zu of %lu plans alike; started %.0f against %.0f core-seconds, urgent %.0f against %.0f, lost %.0f "
+      "%zu of %lu plans equal; started %.0f against %.0f core-seconds, urgent %.0f against %.0f, lost %.0f "
       "against %.0f in %zu against %zu stops",
       equalPlans, LoadCount * PassesPerLoad, current.started, expected.started, current.startedUrgent,
       expected.startedUrgent, current.lost, expected.lost, current.stops, expected.stops);
