--- a/test/PortClaim.cpp
+++ b/test/PortClaim.cpp
@@ -16,7 +16,8 @@
 
 namespace {
 
-/** \returns whether nobody listens on a run of ports now, nor has until just now, at any address. */
+/** \returns whether all ports of a run can be bound at any address. A port cannot be bound while a program listens on
+ * it or shortly afterwards. */
 bool portsAreFree(unsigned base, unsigned ports) {
   boost::asio::io_context io;
   for (unsigned port = base; port < base + ports; ++port) {
@@ -35,8 +36,8 @@
   std::mt19937 random(std::random_device{}());
   std::uniform_int_distribution<unsigned> run(0, range.runs - 1);
   while (m_base == 0) {
-    const unsigned base = range.first + run(random) * range.each;
-    if (claim(base, range.each)) m_base = base;
+    const unsigned base = range.first + run(random) * range.portsPerRun;
+    if (claim(base, range.portsPerRun)) m_base = base;
   }
 }
 
--- a/test/PortClaim.h
+++ b/test/PortClaim.h
@@ -5,20 +5,22 @@
 
 namespace courseloom::test {
 
-/** Where a kind of deployment looks for ports: so many runs of neighbouring ports. */
+/** Range in which a kind of deployment claims ports: `runs` runs of `portsPerRun` consecutive ports. */
 struct PortRange {
   unsigned first = 0;
   unsigned runs = 0;
-  unsigned each = 0;  ///< ports of one run
+  unsigned portsPerRun = 0;  ///< number of ports in a run
 };
 
 /** \class PortClaim
- * \brief A run of ports on which nothing listens at any address, kept from other test programs until the claim goes.
+ * \brief A run of ports on which no program listens at any address, reserved against other test programs until the
+ * destructor releases it.
  *
- * The lock is the kernel's, so that a program that dies gives its ports back.
+ * The reservation is a file lock, which the kernel releases also when a program crashes.
  */
 class PortClaim {
  public:
+  /** Draws runs at random until one can be reserved; does not return while none is free. */
   explicit PortClaim(const PortRange& range);
   ~PortClaim();
   PortClaim(const PortClaim&) = delete;
--- a/test/Processes.cpp
+++ b/test/Processes.cpp
@@ -29,10 +29,10 @@
 
 namespace {
 
-/** Control at +1, platform at +40, targets after it. */
+/** Offsets within a run of ports: control at +1, platform at +40, targets from +41. */
 constexpr PortRange Ports{20000, 116, 100};
-/** Of a process that does not become ready, so many bytes of its log are shown. */
-constexpr std::streamoff ShownOfLog = 2000;
+/** Number of bytes that are shown from the end of the log of a process that does not become ready. */
+constexpr std::streamoff ShownLogBytes = 2000;
 constexpr Duration ReadyLimit = milliseconds(20000);
 const std::string BuildFolder = COURSELOOM_BUILD_DIR;
 
@@ -58,23 +58,23 @@
   awaitReadyLine(log, begin);
 }
 
-void Process::tellIfNotReady() const {
+void Process::printLogIfNotReady() const {
   if (m_ready) return;
   std::ifstream file(m_log, std::ios::ate);
-  file.seekg(std::max(std::streamoff{0}, static_cast<std::streamoff>(file.tellg()) - ShownOfLog));
+  file.seekg(std::max(std::streamoff{0}, static_cast<std::streamoff>(file.tellg()) - ShownLogBytes));
   std::ostringstream text;
   text << file.rdbuf();
   std::fprintf(stderr, "not ready, %s ends with:\n%s\n", m_log.c_str(), text.str().c_str());
 }
 
-/** Looks for the ready line among the lines of the log that this life has written. */
+/** Searches for the ready line in the part of the log that this process has written. */
 void Process::awaitReadyLine(const std::string& log, std::streamoff begin) {
   const Time end = BootClock::now() + ReadyLimit;
   while (BootClock::now() < end && !m_ready) {
     std::ifstream file(log);
     file.seekg(begin);
     for (std::string line; std::getline(file, line) && !file.eof();) {
-      // A log line of another thread may stand before it on the same line.
+      // A log line of another thread may precede the ready line on the same line.
       const std::size_t begins = line.find("ready name=");
       const std::size_t at = line.find(" http=", begins);
       if (begins == std::string::npos || at == std::string::npos) continue;
@@ -115,20 +115,20 @@
   m_pid = -1;
 }
 
-std::vector<HttpReply> sendAll(const std::vector<HttpAsk>& asks) {
+std::vector<HttpReply> sendAll(const std::vector<HttpCall>& calls) {
   asio::io_context io;
-  std::vector<HttpReply> replies(asks.size());
+  std::vector<HttpReply> replies(calls.size());
   std::vector<std::unique_ptr<HttpClient>> clients;
-  for (std::size_t i = 0; i < asks.size(); ++i) {
-    const HttpAsk& ask = asks[i];
-    const std::size_t colon = ask.address.find(':');
-    clients.push_back(std::make_unique<HttpClient>(io, ask.address.substr(0, colon),
-                                                   std::strtoul(ask.address.c_str() + colon + 1, nullptr, 10), 0));
-    auto one = [&replies, i, &ask, client = clients.back().get()]() -> Awaitable<void> {
-      HttpRequest request(http::string_to_verb(ask.method), ask.path, 11);
-      for (const auto& [name, value] : ask.headers) request.set(name, value);
-      request.body() = ask.body;
-      Result<HttpResponse> response = co_await client->exchange("test", std::move(request), ask.limit, 1ULL << 30U);
+  for (std::size_t i = 0; i < calls.size(); ++i) {
+    const HttpCall& call = calls[i];
+    const std::size_t colon = call.address.find(':');
+    clients.push_back(std::make_unique<HttpClient>(io, call.address.substr(0, colon),
+                                                   std::strtoul(call.address.c_str() + colon + 1, nullptr, 10), 0));
+    auto one = [&replies, i, &call, client = clients.back().get()]() -> Awaitable<void> {
+      HttpRequest request(http::string_to_verb(call.method), call.path, 11);
+      for (const auto& [name, value] : call.headers) request.set(name, value);
+      request.body() = call.body;
+      Result<HttpResponse> response = co_await client->exchange("test", std::move(request), call.limit, 1ULL << 30U);
       if (response) replies[i] = {response->result_int(), response->body()};
     };
     asio::co_spawn(io, std::move(one), asio::detached);
@@ -137,7 +137,7 @@
   return replies;
 }
 
-HttpReply send(const HttpAsk& ask) { return sendAll({ask}).front(); }
+HttpReply send(const HttpCall& call) { return sendAll({call}).front(); }
 
 std::string sendRaw(const std::string& address, const std::string& bytes) {
   asio::io_context io;
@@ -221,7 +221,7 @@
 
 void Deployment::start(const std::string& name) {
   m_processes[name] = std::make_unique<Process>(m_commands.at(name), m_folder + "/" + name + ".log");
-  m_processes[name]->tellIfNotReady();
+  m_processes[name]->printLogIfNotReady();
 }
 
 void Deployment::restart(const std::string& name) {
@@ -231,10 +231,10 @@
 
 void Deployment::wipe(const std::string& name) { std::filesystem::remove_all(m_folder + "/" + name); }
 
-bool Deployment::until(const HttpAsk& ask, const std::string& text, Duration limit) {
+bool Deployment::until(const HttpCall& call, const std::string& text, Duration limit) {
   const Time end = BootClock::now() + limit;
   while (BootClock::now() < end) {
-    if (send(ask).has(text)) return true;
+    if (send(call).has(text)) return true;
     pause(20);
   }
   return false;
@@ -254,7 +254,7 @@
   for (unsigned e = 1; e <= m_size.entries; ++e) {
     const std::string entry = "entry-" + std::to_string(e);
     until({http(entry), "GET", "/readyz"}, "ready\n");
-    // Every target has answered through every entry: all views are complete.
+    // Once every target has answered through every entry, all views are complete.
     for (unsigned t = 1; t <= m_size.targets; ++t) until(request(entry, "hello"), "target-" + std::to_string(t));
   }
 }
@@ -266,14 +266,14 @@
   return number == 0 ? std::string() : "control-" + std::to_string(number);
 }
 
-HttpAsk Deployment::request(const std::string& entry, const std::string& body, const std::string& id) const {
-  HttpAsk ask{
+HttpCall Deployment::request(const std::string& entry, const std::string& body, const std::string& id) const {
+  HttpCall call{
       m_processes.at(entry)->http(), "POST", "/v1/services/quotes/requests", body, {{"Courseloom-Workspace", "andes"}}};
   if (!id.empty()) {
-    ask.headers.emplace_back("Courseloom-Repeatable", "false");
-    ask.headers.emplace_back("Courseloom-Request-Id", id);
+    call.headers.emplace_back("Courseloom-Repeatable", "false");
+    call.headers.emplace_back("Courseloom-Request-Id", id);
   }
-  return ask;
+  return call;
 }
 
 HttpReply Deployment::waitJob(const std::string& id, unsigned ms) {
--- a/test/Processes.h
+++ b/test/Processes.h
@@ -17,25 +17,27 @@
 namespace courseloom::test {
 
 /** \class Process
- * \brief One started program with the addresses of its ready line; killed when it goes.
+ * \brief A started program with the HTTP address from its ready line. The destructor kills it.
  */
 class Process {
  public:
-  /** Starts and waits for the ready line. \param log file for what it prints */
+  /** Starts a program and waits for its ready line, its exit, or the time limit.
+   * \param log file to which its output is appended */
   Process(const std::vector<std::string>& arguments, const std::string& log);
   ~Process();
   Process(const Process&) = delete;
   Process& operator=(const Process&) = delete;
 
   void signal(int number) const;
-  /** Waits for its end. \returns the exit code, or -1 if it did not end in time */
+  /** Waits for its exit. \returns the exit code, 128 plus the signal's number, or -1 after the limit */
   int wait(Duration limit);
-  /** Kills it (SIGKILL) and waits. */
+  /** Sends SIGKILL and waits for its exit. */
   void kill();
   const std::string& http() const { return m_http; }
   bool ready() const { return m_ready; }
-  /** Shows the end of the log of a process that did not become ready. */
-  void tellIfNotReady() const;
+  /** Prints the end of the log to stderr if the process did not become ready. */
+  void printLogIfNotReady() const;
+  /** \returns the process id, or -1 after the end of the process. */
   pid_t pid() const { return m_pid; }
 
  private:
@@ -48,7 +50,7 @@
 };
 
 /** \class HttpReply
- * \brief Status and body; status 0 if there was no whole answer.
+ * \brief Status and body of an answer; status 0: no complete answer.
  */
 struct HttpReply {
   unsigned status = 0;
@@ -58,10 +60,10 @@
 
 using Headers = std::vector<std::pair<std::string, std::string>>;
 
-/** \class HttpAsk
- * \brief One request of a batch.
+/** \class HttpCall
+ * \brief One HTTP request to a test process.
  */
-struct HttpAsk {
+struct HttpCall {
   std::string address;
   std::string method = "GET";
   std::string path = {};
@@ -70,14 +72,14 @@
   Duration limit = milliseconds(20000);
 };
 
-/** Sends all at once, each on a connection of its own. \returns the replies in the same order */
-std::vector<HttpReply> sendAll(const std::vector<HttpAsk>& asks);
-HttpReply send(const HttpAsk& ask);
-/** Sends bytes as they are, then closes the sending side. \returns all that comes back */
+/** Sends all requests at once, each on its own connection. \returns the replies in the same order */
+std::vector<HttpReply> sendAll(const std::vector<HttpCall>& calls);
+HttpReply send(const HttpCall& call);
+/** Sends bytes unchanged, then closes the sending side. \returns all received bytes */
 std::string sendRaw(const std::string& address, const std::string& bytes);
 
 /** \class Deployment
- * \brief A whole courseloom with stand-ins on loopback, in a folder of its own.
+ * \brief A complete deployment with stand-ins for platform and targets, on loopback and in its own folder.
  */
 class Deployment {
  public:
@@ -94,24 +96,24 @@
 
   Process& process(const std::string& name) { return *m_processes.at(name); }
   const std::string& http(const std::string& name) { return process(name).http(); }
-  /** Kills a process and starts it again under the same settings. */
+  /** Kills a process and starts it again with the same settings. */
   void restart(const std::string& name);
   void start(const std::string& name);
   void kill(const std::string& name) { process(name).kill(); }
-  /** Runs a control replica's program with one more option to its end. \returns the exit code */
+  /** Runs a control replica's program with one further option until it exits. \returns the exit code */
   int runOption(const std::string& name, const std::string& option);
-  /** Removes a control replica's disk; the process must be dead. */
+  /** Removes a control replica's data folder; its process must not be running. */
   void wipe(const std::string& name);
-  /** Applies the usual services and workspaces and waits until every target is known to every entry. */
+  /** Applies the common services and workspaces and waits until every entry knows every target. */
   void setUp();
   /** \returns the name of the leading control replica, or an empty string. */
   std::string leader();
-  /** Asks until a reply holds a text. \returns whether it did within the limit */
-  bool until(const HttpAsk& ask, const std::string& text, Duration limit = milliseconds(20000));
+  /** Repeats a request until a reply contains a text. \returns whether one did within the limit */
+  bool until(const HttpCall& call, const std::string& text, Duration limit = milliseconds(20000));
 
-  HttpAsk request(const std::string& entry, const std::string& body, const std::string& id = "") const;
+  HttpCall request(const std::string& entry, const std::string& body, const std::string& id = "") const;
   HttpReply status() { return send({http("entry-1"), "GET", "/v1/status", "", {}, milliseconds(5000)}); }
-  /** \returns the cluster as a client's settings name it, for programs that talk to control directly. */
+  /** \returns the settings of entry-1, for programs that call control directly. */
   std::string commonSettings() const { return settingsOf("entry-1"); }
   /** Applies objects given as JSON. */
   HttpReply apply(const std::string& json, const std::string& commandId = "", const std::string& entry = "entry-1");
@@ -119,8 +121,9 @@
     return send({http("entry-1"), "POST", "/v1/jobs", json, {{"Content-Type", "application/json"}}});
   }
   HttpReply waitJob(const std::string& id, unsigned ms = 15000);
+  /** Sets the fault mode of a stand-in target; `ms` is the time of modes that have one. */
   void behave(const std::string& target, const std::string& mode, int ms = 0);
-  /** \returns how often a request id ran on all targets together. */
+  /** \returns the number of runs of a request id on all targets. */
   int runs(const std::string& requestId);
 
  private:
--- a/test/ReplicaCluster.cpp
+++ b/test/ReplicaCluster.cpp
@@ -57,7 +57,7 @@
   options.mechanisms = m_mechanisms;
   options.replaceAfter = m_membership.replaceAfter;
   options.wantedVoters = m_membership.wantedVoters;
-  ++node.life;
+  ++node.incarnation;
   node.syncing = false;
   node.frozen = false;
   node.waiting.clear();
@@ -68,7 +68,7 @@
 
 void ReplicaCluster::crash(std::size_t index) {
   m_nodes[index].replica.reset();
-  ++m_nodes[index].life;
+  ++m_nodes[index].incarnation;
 }
 
 void ReplicaCluster::restart(std::size_t index) { boot(index); }
@@ -83,7 +83,7 @@
   if (m_violation.empty()) m_violation = what;
 }
 
-// ---- performing the replicas' output
+// ---- execution of the replicas' output
 
 void ReplicaCluster::send(std::size_t from, const std::vector<schema::ReplicaMessage>& messages) {
   for (const schema::ReplicaMessage& message : messages) {
@@ -115,7 +115,7 @@
   }
   node.syncing = true;
   node.replica->setStoring(true);
-  m_events.push({m_now + (node.syncTime == Duration(0) ? delay(10) : node.syncTime), m_order++, index, node.life,
+  m_events.push({m_now + (node.syncTime == Duration(0) ? delay(10) : node.syncTime), m_order++, index, node.incarnation,
                  nullptr, std::make_shared<ReplicaOutput>(std::move(output))});
 }
 
@@ -189,7 +189,7 @@
 void ReplicaCluster::handle(const Event& event) {
   Node& node = m_nodes[event.node];
   if (event.output) {
-    if (event.life != node.life) return;  // the crash came before the sync
+    if (event.incarnation != node.incarnation) return;  // the node crashed before the sync completed
     store(node.disk, *event.output);
     node.syncing = false;
     node.replica->setStoring(false);
@@ -216,7 +216,7 @@
   pump(index);
 }
 
-/** A read must show every command that was acknowledged before it. */
+/** Checks that a read at a node would return every command that was acknowledged before it. */
 void ReplicaCluster::readAt(std::size_t index) {
   const Node& node = m_nodes[index];
   if (!node.replica || node.frozen || !node.replica->canRead(m_now)) return;
@@ -260,7 +260,8 @@
   }
 }
 
-/** One disk may be lost while all the others that vote are whole and up to date, or once it no longer votes. */
+/** A disk may be lost only if there is a leader, the node is not the leader, the wanted number of replicas vote, and
+ * every member still has its disk. */
 bool ReplicaCluster::mayWipe(std::size_t index) const {
   const int at = leader();
   if (at < 0) return false;
--- a/test/ReplicaCluster.h
+++ b/test/ReplicaCluster.h
@@ -16,7 +16,8 @@
 
 namespace courseloom::test {
 
-/** What may go wrong in one seeded run. */
+/** Faults of one seeded run. `loss` and `duplicate` are probabilities per message; the others enable a kind of fault.
+ */
 struct ClusterFaults {
   double loss = 0.05;
   double duplicate = 0.05;
@@ -27,44 +28,48 @@
   bool handOvers = true;
 };
 
-/** Replicas that come after the founders, and when they take the place of others. */
+/** Standby replicas, and when they replace others. */
 struct ClusterMembership {
-  std::size_t standbys = 0;      ///< the last of the replicas, which begin with empty disks
+  std::size_t standbys = 0;      ///< number of standbys: the last of the replicas, which start with empty disks
   Duration replaceAfter{};       ///< \sa ReplicaOptions
   std::size_t wantedVoters = 0;  ///< \sa ReplicaOptions
 };
 
 /** \class ReplicaCluster
- * \brief Replicas on a virtual clock with a network that loses, delays, doubles and reorders, and disks that lose what
- * was not synced; with a checker of agreement, of acknowledged commands and of reads.
+ * \brief Replicas on a virtual clock, with a network that loses, delays, duplicates and reorders messages, and disks
+ * that lose unsynced writes. Checks that replicas agree, that acknowledged commands are kept, and that reads are fresh.
  */
 class ReplicaCluster {
  public:
   ReplicaCluster(std::size_t count, std::uint64_t seed, ClusterFaults faults, ReplicaMechanisms mechanisms = {},
                  ClusterMembership membership = {});
 
-  /** Runs a number of steps with faults and client traffic. Stops early at a violation. */
+  /** Runs a number of steps of 1 to 20 ms with faults and client traffic. Stops early at a violation. */
   void run(std::size_t steps);
-  /** Ends all faults, waits until one leader has committed and all voters have caught up, then checks the whole. */
+  /** Ends all faults, gives the replicas time to elect a leader, commit a command and catch up, then checks all
+   * acknowledged commands on all replicas. */
   void healAndCheck();
 
-  /** \returns what went wrong first, or an empty string. */
+  /** \returns the first violation, or an empty string. */
   const std::string& violation() const { return m_violation; }
   std::size_t acknowledged() const { return m_acknowledged.size(); }
   std::size_t wipes() const { return m_wipes; }
 
-  // Steps for tests that bring about one failure by hand.
+  // Steps for tests that cause a particular failure. Nodes are numbered from 0.
   void advance(Duration duration);
+  /** Proposes a new command at the leader. \returns whether there is a leader */
   bool propose();
+  /** \returns the node that leads and may serve reads, or -1. */
   int leader() const;
   void crash(std::size_t node);
   void restart(std::size_t node);
   void wipe(std::size_t node);
-  /** Sets how long each later sync of a node takes; zero is some milliseconds, drawn anew each time. */
+  /** Sets the duration of each following sync of a node; zero: drawn for each sync, up to 10 ms. */
   void slowDisk(std::size_t node, Duration sync) { m_nodes[node].syncTime = sync; }
+  /** Cuts a node off from the network, or reconnects it. */
   void cut(std::size_t node, bool on) { m_nodes[node].cut = on; }
   const Replica* replica(std::size_t node) const { return m_nodes[node].replica.get(); }
-  /** \returns acknowledged commands that a node's disk does not hold. */
+  /** \returns the number of acknowledged commands that are missing on a node's disk. */
   std::size_t missingOnDisk(std::size_t node) const;
   Time now() const { return m_now; }
 
@@ -77,21 +82,21 @@
   struct Node {
     Disk disk;
     std::unique_ptr<Replica> replica;
-    std::vector<std::string> applied;  ///< payloads by index - 1; empty ones are no commands
+    std::vector<std::string> applied;  ///< payloads by log index - 1; `-` stands for an entry without a command
     bool frozen = false;
     bool cut = false;
     Time thawAt{};
     Time restartAt{};
     bool syncing = false;
-    Duration syncTime{};  ///< zero draws a short one for each sync
-    std::uint64_t life = 0;
+    Duration syncTime{};            ///< zero: drawn for each sync, up to 10 ms
+    std::uint64_t incarnation = 0;  ///< raised at each start and crash
     std::map<LogIndex, std::pair<Term, std::string>> waiting;
   };
   struct Event {
     Time at;
     std::uint64_t order = 0;
     std::size_t node = 0;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     std::shared_ptr<schema::ReplicaMessage> message;
     std::shared_ptr<ReplicaOutput> output;
     bool operator<(const Event& other) const { return std::tie(other.at, other.order) < std::tie(at, order); }
@@ -125,7 +130,7 @@
   Time m_now = Time(milliseconds(100000));
   std::uint64_t m_order = 0;
   std::uint64_t m_nextCommand = 1;
-  std::map<LogIndex, std::string> m_committed;  ///< what any replica has applied at an index
+  std::map<LogIndex, std::string> m_committed;  ///< payload that the first replica to apply an index applied there
   std::set<std::string> m_acknowledged;
   std::map<std::string, LogIndex> m_acknowledgedAt;
   LogIndex m_highestAcknowledged = 0;
--- a/test/WorkflowDeployment.h
+++ b/test/WorkflowDeployment.h
@@ -41,7 +41,8 @@
          key + R"("],"guaranteed":{"gpu":8}}]})";
 }
 
-/** \param accelerators of each task */
+/** \param spec the stand-in's instruction for each task, such as its run time in milliseconds
+ * \param accelerators number for each task */
 inline std::string job(unsigned count, const std::string& spec, bool gang = false, unsigned accelerators = 1) {
   return R"({"spec":")" + spec + R"(","steps":[{"count":)" + std::to_string(count) + R"(,"gang":)" +
          (gang ? "true" : "false") + R"(,"cpu":1000,"mem_mb":100,"gpu":)" + std::to_string(accelerators) +
@@ -51,7 +52,7 @@
 inline std::string gang(unsigned count, const std::string& spec) { return job(count, spec, true); }
 
 /** \class WorkflowDeployment
- * \brief Three replicas, an entry, two agents with their back ends, each on an address of its own.
+ * \brief Three replicas, an entry, and two agents (by default) with their back ends, each on its own address.
  */
 class WorkflowDeployment {
  public:
@@ -102,7 +103,7 @@
                  {{"Host", "h.example"}, {"Authorization", "Bearer " + key}, {"Content-Type", "application/json"}},
                  milliseconds(5000)});
   }
-  /** Calls until the status is as wanted. */
+  /** Repeats a call until its status and body match, for at most 20 s. \param text part of the body */
   bool until(unsigned status, const std::string& method, const std::string& path, const std::string& body = "",
              const std::string& text = "") {
     const Time end = BootClock::now() + milliseconds(20000);
@@ -113,7 +114,8 @@
     }
     return false;
   }
-  /** Puts a configuration at whichever replica takes it. */
+  /** Sends a configuration to the replicas in turn until one answers 200 or 400, for at most 20 s.
+   * \returns its status, or 0 */
   unsigned configure(const std::string& body) {
     const Time end = BootClock::now() + milliseconds(20000);
     for (unsigned i = 0; BootClock::now() < end; ++i) {
@@ -123,7 +125,8 @@
     }
     return 0;
   }
-  /** Sends an operator's order without a body to replicas until one takes it. \returns its status */
+  /** Sends an operator's order without a body to the replicas in turn until one answers 200 or 400, at most 400 times.
+   * \returns its status, or 0 */
   unsigned order(const std::string& path) {
     for (unsigned i = 0; i < 400; ++i) {
       const HttpReply reply = send({at(1 + i % 4, ControlPort), "POST", path, "", {}, milliseconds(3000)});
@@ -140,7 +143,7 @@
     }
     return {};
   }
-  /** \returns the leader's number, or 0. */
+  /** \returns the number of the replica that leads, or 0 if none is found. */
   unsigned leader() {
     for (unsigned round = 0; round < 400; ++round) {
       for (unsigned i = 1; i <= 4; ++i) {
@@ -153,14 +156,14 @@
   HttpReply runner(unsigned i, const std::string& method, const std::string& path) {
     return send({at(10 + i, TargetPort), method, path, "", {}, milliseconds(3000)});
   }
-  /** \returns how often a text stands in what both back ends count. */
+  /** \returns how many of the two back ends' counters contain a text: 0 to 2. */
   unsigned counted(const std::string& text) {
     unsigned count = 0;
     for (unsigned i = 1; i <= 2; ++i) count += runner(i, "GET", "/starts").has(text) ? 1 : 0;
     return count;
   }
-  /** \returns the run time of a task on a back end against that on a usual one, as the leader believes; 0 if it does
-   * not tell. */
+  /** \returns the leader's estimate of a back end's time factor (run time of a task relative to a usual back end); 0 if
+   * the status does not give it. */
   double timeFactor(unsigned i) {
     const HttpReply reply = send({at(20, HttpPort), "GET", "/v1/status", "", {}, milliseconds(3000)});
     schema::QueryReply status;
@@ -170,13 +173,14 @@
     }
     return 0.0;
   }
-  /** \returns a figure of a replica's metrics page, all its lines added up. \param name with courseloom_ before it */
+  /** \returns the sum of all series of a metric on a replica's metrics page.
+   * \param name with the prefix courseloom_ */
   double metric(unsigned replica, const std::string& name) {
     std::istringstream page(send({at(replica, HttpPort), "GET", "/metrics", "", {}, milliseconds(3000)}).body);
     double sum = 0.0;
     for (std::string line; std::getline(page, line);) {
-      const bool isIt = line.rfind(name, 0) == 0 && (line[name.size()] == '{' || line[name.size()] == ' ');
-      if (isIt) sum += std::strtod(line.c_str() + line.rfind(' '), nullptr);
+      const bool matches = line.rfind(name, 0) == 0 && (line[name.size()] == '{' || line[name.size()] == ' ');
+      if (matches) sum += std::strtod(line.c_str() + line.rfind(' '), nullptr);
     }
     return sum;
   }
@@ -185,7 +189,7 @@
     cr_assert(until(200, "GET", "/q/", "", "pending"));
   }
 
-  /** \returns the cluster as a node's settings name it, for agents that a test plays itself. */
+  /** \returns the cluster section of a node's settings, for agents that a test simulates itself. */
   schema::ClusterSettings cluster() const {
     schema::ClusterSettings settings;
     settings.set_election_timeout_ms(ElectionTimeoutMs);
@@ -198,7 +202,7 @@
   std::string address(unsigned host) const { return "127.0.7." + std::to_string(host); }
   std::string at(unsigned host, unsigned port) const { return address(host) + ":" + std::to_string(m_base + port); }
 
-  /** The second agent's hall is hall-2; all else is in hall-1. */
+  /** The second agent is in hall-2; all other processes are in hall-1. */
   static std::string hallOf(unsigned host) { return host == 12 ? "hall-2" : "hall-1"; }
 
   void start(const std::string& name, const std::string& program, unsigned host, const std::string& extra) {
@@ -215,7 +219,7 @@
     m_processes[name] = std::make_unique<Process>(
         std::vector<std::string>{BuildFolder + "/daemons/" + program, "--settings", m_folder + "/" + name + ".yaml"},
         m_folder + "/" + name + ".log");
-    m_processes[name]->tellIfNotReady();
+    m_processes[name]->printLogIfNotReady();
   }
 
   std::string m_folder;
--- a/test/control_processes.cpp
+++ b/test/control_processes.cpp
@@ -1,7 +1,7 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// Control replicas as processes: frozen leaders, followers far behind, lost disks, leaving targets, planned stops.
+// Control replicas as processes: paused leaders, followers far behind, lost disks, leaving targets and planned stops.
 
 #include <atomic>
 #include <csignal>
@@ -21,14 +21,14 @@
   return R"({"objects":[{"name":"andes","workspace":{"weight":)" + std::to_string(weight) + "}}]}";
 }
 
-/** Applies until accepted, with one command id, as an operator would. */
+/** Applies objects with the same command id until they are accepted, at most 40 times, as an operator would. */
 HttpReply applyUntilAccepted(Deployment& deployment, const std::string& json, const std::string& id) {
   HttpReply reply;
   for (int i = 0; i < 40 && reply.status != 200; ++i) reply = deployment.apply(json, id);
   return reply;
 }
 
-/** Counts the replicas that vote, as the status tells them. */
+/** \returns the number of voting replicas in a status answer. */
 std::size_t votersIn(const std::string& status) {
   std::size_t count = 0;
   for (std::size_t at = 0; (at = status.find("\"voter\": true", at)) != std::string::npos; ++at) ++count;
@@ -42,7 +42,7 @@
 
 }  // namespace
 
-Test(control_processes, a_frozen_leader_wakes_up_to_find_another_and_reverts_nothing) {
+Test(control_processes, a_leader_that_resumes_after_a_pause_reverts_nothing) {
   Deployment deployment({3, 1, 1, "", "", ""});
   deployment.setUp();
   const std::string old = deployment.leader();
@@ -52,7 +52,7 @@
   deployment.process(old).signal(SIGCONT);
   cr_assert_neq(deployment.leader(), old);
   cr_assert(shows(deployment, "\"weight\": 6"));
-  // The first command resent after the second: its first answer, and no way back.
+  // The first command, sent again after the second, gets its original answer and changes nothing.
   const HttpReply again = applyUntilAccepted(deployment, weightOf(5), "first");
   cr_assert(again.has("\"replayed\": true"), "%s", again.body.c_str());
   cr_assert(shows(deployment, "\"weight\": 6"));
@@ -67,7 +67,7 @@
     deployment.kill(lost);
     deployment.wipe(lost);
     deployment.start(lost);
-    // Taken in again by the leader itself: its new disk votes, beside the two others.
+    // The leader admits the replica without an operator: its new disk votes again, like the two others.
     const std::string founding = "founding-test-" + std::string(lost).substr(8);
     const auto promoted = [&] {
       const std::string body = deployment.status().body;
@@ -83,7 +83,7 @@
   cr_assert(shows(deployment, "\"weight\": 61"));
 }
 
-Test(control_processes, two_disks_lost_at_once_are_recovered_from_the_third_on_an_operators_word) {
+Test(control_processes, two_disks_lost_at_once_are_recovered_from_the_third_by_an_operator) {
   Deployment deployment({3, 1, 1, "", "", ""});
   deployment.setUp();
   cr_assert_eq(applyUntilAccepted(deployment, weightOf(7), "before").status, 200);
@@ -98,11 +98,11 @@
   for (const char* name : {"control-1", "control-2", "control-3"}) deployment.start(name);
   cr_assert(shows(deployment, "\"weight\": 7"));
   cr_assert_eq(applyUntilAccepted(deployment, weightOf(8), "after").status, 200);
-  const HttpAsk status{deployment.http("entry-1"), "GET", "/v1/status"};
+  const HttpCall status{deployment.http("entry-1"), "GET", "/v1/status"};
   const auto voters = [&] { return votersIn(send(status).body); };
   const Time end = BootClock::now() + milliseconds(15000);
   while (voters() < 3 && BootClock::now() < end) pause(50);
-  cr_assert_eq(voters(), 3, "the two new disks were not taken in");
+  cr_assert_eq(voters(), 3, "the two new disks were not promoted");
 }
 
 Test(control_processes, a_follower_and_an_entry_back_after_500_changes_catch_up) {
@@ -116,13 +116,13 @@
   deployment.process("entry-2").signal(SIGCONT);
   deployment.start(follower);
   cr_assert(deployment.until({deployment.http("entry-2"), "GET", "/readyz"}, "ready\n"));
-  // Now the cluster needs the follower that was behind for its quorum.
+  // From here the cluster needs the follower that was behind for its quorum.
   deployment.kill(deployment.leader());
   cr_assert_eq(applyUntilAccepted(deployment, weightOf(501), "last").status, 200);
   cr_assert(shows(deployment, "\"weight\": 501"));
 }
 
-Test(control_processes, an_entry_cut_from_control_refuses_new_work_truthfully) {
+Test(control_processes, an_entry_without_control_refuses_requests_as_not_run) {
   Deployment deployment({1, 1, 1, "", "", ""});
   deployment.setUp();
   deployment.process("control-1").signal(SIGSTOP);
@@ -133,7 +133,7 @@
   cr_assert(deployment.until(deployment.request("entry-1", "x"), "answers", milliseconds(10000)));
 }
 
-Test(control_processes, a_leaving_target_gets_no_new_work_after_seconds) {
+Test(control_processes, a_leaving_target_gets_no_requests_after_three_seconds) {
   Deployment deployment({1, 2, 2, "--lag-ms 300", "", ""});
   deployment.setUp();
   send({deployment.http("platform"), "POST", "/instance?name=target-1&leaving=1"});
@@ -144,7 +144,7 @@
   }
 }
 
-Test(control_processes, a_rolling_restart_under_load_cuts_nothing_and_doubles_nothing) {
+Test(control_processes, a_rolling_restart_under_load_fails_and_repeats_no_request) {
   Deployment deployment({3, 2, 2, "", "queueLimit: 1000", "entry: {notReadyMs: 300}\n"});
   deployment.setUp();
   deployment.behave("target-1", "late", 20);
@@ -153,23 +153,23 @@
   std::atomic<int> sent{0};
   std::vector<std::string> wrong;
   std::thread load([&] {
-    // A caller behind the balancer: only ready entries get new requests, on new connections.
+    // Acts as a load balancer: only ready entries get new requests, on new connections.
     for (int round = 0; !done; ++round) {
-      std::vector<HttpAsk> asks;
+      std::vector<HttpCall> calls;
       for (const char* entry : {"entry-1", "entry-2"}) {
         if (send({deployment.http(entry), "GET", "/readyz"}).status != 200) continue;
         for (int i = 0; i < 8; ++i) {
           const std::string id = "roll-" + std::to_string(round) + "-" + entry + "-" + std::to_string(i);
-          asks.push_back(deployment.request(entry, id, i % 4 == 0 ? id : ""));
+          calls.push_back(deployment.request(entry, id, i % 4 == 0 ? id : ""));
         }
       }
-      const std::vector<HttpReply> replies = sendAll(asks);
+      const std::vector<HttpReply> replies = sendAll(calls);
       for (std::size_t i = 0; i < replies.size(); ++i) {
         ++sent;
-        if (replies[i].status != 200 || !replies[i].has("answers: " + asks[i].body))
-          wrong.push_back(asks[i].body + ": " + replies[i].body);
-        if (replies[i].status == 200 && asks[i].headers.size() > 1 && deployment.runs(asks[i].body) != 1)
-          wrong.push_back(asks[i].body + " did not run once");
+        if (replies[i].status != 200 || !replies[i].has("answers: " + calls[i].body))
+          wrong.push_back(calls[i].body + ": " + replies[i].body);
+        if (replies[i].status == 200 && calls[i].headers.size() > 1 && deployment.runs(calls[i].body) != 1)
+          wrong.push_back(calls[i].body + " did not run once");
       }
     }
   });
--- a/test/control_relay.cpp
+++ b/test/control_relay.cpp
@@ -1,7 +1,7 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// A node that cannot reach control itself: calls go through a relay, and direct again when a replica answers.
+// A node that cannot reach control itself: its calls go through a relay, and directly again once a replica answers.
 
 #include "Courseloom/src/Membership/ControlRelay.h"
 
@@ -31,21 +31,21 @@
 }
 
 /** \class FakeReplica
- * \brief A leader that counts reports, and may be silent as one behind a cut is.
+ * \brief A leader that counts reports. It can be silent, like a replica behind a network partition.
  */
 class FakeReplica {
  public:
-  FakeReplica(asio::io_context& io, const std::string& address, unsigned askedPort) : m_server(io) {
+  FakeReplica(asio::io_context& io, const std::string& address, unsigned requestedPort) : m_server(io) {
     m_server.handle<schema::AttendRequest>("attend", [this](schema::AttendRequest request, std::string) {
       return answer<schema::AttendReply>(request.relayed());
     });
     m_server.handle<schema::Empty>("ping", [this](schema::Empty, std::string) { return answer<schema::Empty>(false); });
-    port = m_server.start(address, askedPort).value();
+    port = m_server.start(address, requestedPort).value();
   }
   unsigned port = 0;
   bool silent = false;
   bool leads = true;
-  std::string named;  ///< the peer that it takes for the leader, where it does not lead
+  std::string namedLeader;  ///< the peer that it names as leader when it does not lead
   unsigned direct = 0;
   unsigned relayed = 0;
 
@@ -53,15 +53,15 @@
   template <class Reply>
   Awaitable<Result<Reply>> answer(bool throughRelay) {
     if (silent) co_await sleepFor(milliseconds(60000));
-    if (!leads) co_return fail(Failure{FailureCode::NoLeader, Ran::No, "test", named, "", 0});
+    if (!leads) co_return fail(Failure{FailureCode::NoLeader, Ran::No, "test", namedLeader, "", 0});
     ++(throughRelay ? relayed : direct);
     co_return Reply();
   }
   RpcServer m_server;
 };
 
-/** Reports for ever, and counts the answers. */
-Awaitable<void> reportAgain(ControlClient& client, unsigned& answered) {
+/** Reports every 20 ms without end, and counts the answers. */
+Awaitable<void> reportRepeatedly(ControlClient& client, unsigned& answered) {
   while (true) {
     Result<schema::AttendReply> reply =
         co_await client.attend(schema::AttendRequest(), BootClock::now() + milliseconds(1000));
@@ -71,21 +71,21 @@
 }
 
 /** \class Stage
- * \brief A node whose replica is cut off from it, and a relay whose replica is not.
+ * \brief A node that can be cut off from its replica, and a relay with a replica of its own that stays reachable.
  */
 class Stage {
  public:
   Stage()
       : cut(io, CutReplica, 0),
         reached(io, Replica, cut.port),
-        relay(io, cluster(Replica, cut.port), [this] { return inTouch; }),
+        relay(io, cluster(Replica, cut.port), [this] { return relayReachesControl; }),
         client(io, cluster(CutReplica, cut.port)) {
     schema::NodeSettings node;
     node.set_address(RelayNode);
     node.set_rpc_port(cut.port);
     cr_assert(static_cast<bool>(relay.start(node)));
     client.setRelays({relay.number()});
-    asio::co_spawn(io, reportAgain(client, answered), asio::detached);
+    asio::co_spawn(io, reportRepeatedly(client, answered), asio::detached);
   }
   void run(Duration length) { io.run_for(length); }
 
@@ -95,22 +95,22 @@
   ControlRelay relay;
   ControlClient client;
   unsigned answered = 0;
-  bool inTouch = true;  ///< the relay itself reaches control
+  bool relayReachesControl = true;  ///< whether the relay itself reaches control
 };
 
 }  // namespace
 
-// A node that is cut off from the replicas alone still reaches nodes that are not; without relays its work is lost.
-Test(control_relay, a_node_behind_a_cut_is_served_through_a_relay) {
+// A node that is cut off only from the replicas still reaches other nodes; without relays its runs would be lost.
+Test(control_relay, a_node_that_is_cut_off_is_served_through_a_relay) {
   Stage stage;
   stage.cut.silent = true;
   stage.run(milliseconds(800));
   cr_assert(stage.reached.relayed > 5, "%u reports came through", stage.reached.relayed);
   cr_assert(stage.client.relayed());
-  cr_assert_eq(stage.reached.direct, 0, "a report through a relay says so");
+  cr_assert_eq(stage.reached.direct, 0, "a relayed report has to be marked as relayed");
 }
 
-Test(control_relay, it_goes_direct_again_when_a_replica_answers) {
+Test(control_relay, a_node_calls_directly_again_when_a_replica_answers) {
   Stage stage;
   stage.cut.silent = true;
   stage.run(milliseconds(600));
@@ -121,14 +121,14 @@
   cr_assert(stage.cut.direct > 0);
 }
 
-Test(control_relay, without_a_cut_no_relay_is_used) {
+Test(control_relay, without_a_partition_no_relay_is_used) {
   Stage stage;
   stage.run(milliseconds(400));
   cr_assert(stage.answered > 5);
   cr_assert_eq(stage.reached.relayed, 0);
 }
 
-Test(control_relay, a_relay_that_finds_no_leader_is_left) {
+Test(control_relay, a_node_leaves_a_relay_that_finds_no_leader) {
   Stage stage;
   stage.cut.silent = true;
   stage.reached.leads = false;
@@ -139,21 +139,22 @@
   cr_assert(stage.answered > 0, "the replicas are tried again");
 }
 
-// With all replicas off, a relay that lets calls time out turns calls that surely have not run into doubts.
+// While all replicas are unreachable, a relay that lets calls time out would turn calls that certainly did not run into
+// calls with an unknown outcome.
 Test(control_relay, a_relay_that_is_cut_off_itself_refuses_at_once) {
   Stage stage;
   stage.cut.silent = true;
-  stage.inTouch = false;
+  stage.relayReachesControl = false;
   stage.run(milliseconds(600));
   cr_assert_eq(stage.answered, 0);
   cr_assert_eq(stage.reached.relayed, 0);
-  stage.inTouch = true;
+  stage.relayReachesControl = true;
   stage.run(milliseconds(800));
   cr_assert(stage.answered > 0);
 }
 
-// After a reload the relay must find control where the changed settings say, also with all members that it knew gone.
-Test(control_relay, a_relay_takes_the_seeds_of_changed_settings) {
+// After a reload the relay has to find control through the changed seeds, also if no member that it knew is left.
+Test(control_relay, a_relay_applies_the_seeds_of_changed_settings) {
   Stage stage;
   asio::io_context& io = stage.io;
   ControlRelay stale(io, cluster(CutReplica, stage.cut.port), [] { return true; });
@@ -164,41 +165,41 @@
   stage.cut.silent = true;
   stage.client.setRelays({stale.number()});
   stage.run(milliseconds(800));
-  cr_assert_eq(stage.reached.relayed, 0, "the stale relay cannot know of the other replica yet");
+  cr_assert_eq(stage.reached.relayed, 0, "the stale relay cannot know the other replica yet");
   stale.setSeeds(cluster(Replica, stage.cut.port));
   stage.run(milliseconds(1500));
   cr_assert(stage.reached.relayed > 5, "%u reports came through", stage.reached.relayed);
 }
 
-// Replicas that are cut off go on naming their former leader; agents that believe them again and again find the new one
-// only when the cut ends.
-Test(control_relay, replicas_that_name_one_that_does_not_lead_are_not_believed) {
+// Replicas that are cut off keep naming their former leader. Agents that follow them every time would find the new
+// leader only when the partition ends.
+Test(control_relay, a_named_replica_that_does_not_lead_is_not_followed_again) {
   asio::io_context io;
   FakeReplica former(io, "127.0.9.24", 0);
   FakeReplica follower(io, "127.0.9.25", former.port);
   FakeReplica leader(io, "127.0.9.26", former.port);
   former.leads = false;
   follower.leads = false;
-  follower.named = replicaPeer(replicaIdOf("127.0.9.24"));
+  follower.namedLeader = replicaPeer(replicaIdOf("127.0.9.24"));
   schema::ClusterSettings settings = cluster("127.0.9.24", former.port);
   settings.add_seeds()->set_endpoint("127.0.9.25:1");
   settings.add_seeds()->set_endpoint("127.0.9.26:1");
   ControlClient client(io, settings);
   unsigned answered = 0;
-  asio::co_spawn(io, reportAgain(client, answered), asio::detached);
+  asio::co_spawn(io, reportRepeatedly(client, answered), asio::detached);
   io.run_for(milliseconds(500));
   cr_assert(answered > 0, "the leader was never tried");
 }
 
 namespace {
 
-/** How calls to a relay ended. */
+/** Numbers of calls to a relay by outcome; calls that succeeded are not counted. */
 struct CallCounts {
   unsigned refused = 0;
   unsigned doubtful = 0;
 };
 
-/** Reports through a relay once, on a connection of its own. */
+/** Reports through a relay once, on its own connection. */
 Awaitable<void> callRelay(asio::io_context& io, unsigned port, CallCounts& counts) {
   const auto client = std::make_shared<RpcClient>(io, "127.0.9.28", port);
   Result<schema::AttendReply> reply = co_await client->call<schema::AttendReply>("attend", schema::AttendRequest(),
@@ -211,8 +212,9 @@
 
 }  // namespace
 
-// Every cut-off node at one relay cost it 34 MB and 425 descriptors; what is refused at once can go elsewhere.
-Test(control_relay, a_relay_that_bears_as_many_calls_as_it_may_refuses_at_once) {
+// Without a limit, all nodes that were cut off used one relay, which cost it 34 MB and 425 descriptors. A call that is
+// refused at once can go to another relay.
+Test(control_relay, a_relay_at_its_limit_of_calls_refuses_at_once) {
   asio::io_context io;
   FakeReplica replica(io, "127.0.9.27", 0);
   replica.silent = true;
--- a/test/idle_connections.cpp
+++ b/test/idle_connections.cpp
@@ -1,7 +1,7 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// What connections hold while nothing is sent on them, and which are kept.
+// Memory of idle connections, and which connections are kept.
 
 #include <malloc.h>
 
@@ -28,20 +28,21 @@
   return reply;
 }
 
-/** A replica that leads, or says that it does not. */
+/** A replica that leads, or answers that it does not. */
 struct FakeReplica {
-  FakeReplica(boost::asio::io_context& io, const std::string& address, unsigned atPort, bool leads) : server(io) {
+  FakeReplica(boost::asio::io_context& io, const std::string& address, unsigned requestedPort, bool leads)
+      : server(io) {
     server.handle<schema::AttendRequest>(
         "attend", [this, leads](schema::AttendRequest, std::string) -> Awaitable<Result<schema::AttendReply>> {
-          ++asked;
+          ++requests;
           if (!leads) co_return fail(Failure{FailureCode::NoLeader, Ran::No, "attend", "", "not the leader", 0});
           co_return inTerm(1);
         });
-    port = *server.start(address, atPort);
+    port = *server.start(address, requestedPort);
   }
   RpcServer server;
   unsigned port = 0;
-  unsigned asked = 0;
+  unsigned requests = 0;
 };
 
 Awaitable<void> callOnce(std::shared_ptr<RpcClient> client, std::size_t& answered) {
@@ -50,7 +51,7 @@
   if (reply) ++answered;
 }
 
-Awaitable<void> attendTwice(ControlClient& client, unsigned& answered) {
+Awaitable<void> reportTwice(ControlClient& client, unsigned& answered) {
   while (answered < 2) {
     Result<schema::AttendReply> reply =
         co_await client.attend(schema::AttendRequest(), BootClock::now() + milliseconds(1000));
@@ -62,8 +63,8 @@
 
 }  // namespace
 
-// Each connection kept 64 KiB to read into for as long as it lived.
-Test(idle_connections, hold_no_buffer_to_read_into) {
+// Guards against a read buffer of 64 KiB for the whole lifetime of each connection.
+Test(idle_connections, idle_connections_hold_no_read_buffer) {
   constexpr std::size_t Connections = 100;
   constexpr std::size_t ReadBytes = 64U * 1024;
   boost::asio::io_context io;
@@ -81,8 +82,8 @@
   cr_assert_lt(held, 2 * ReadBytes, "both ends of a connection hold %zu bytes", held);
 }
 
-// Replicas that do not lead kept a connection of each node that had asked them for the leader.
-Test(idle_connections, a_replica_that_refused_is_left_once_the_leader_answers) {
+// Guards against replicas that do not lead keeping a connection to each node that had requests them for the leader.
+Test(idle_connections, the_connection_to_a_follower_is_closed_once_the_leader_answers) {
   boost::asio::io_context io;
   FakeReplica follower(io, "127.0.9.42", 0, false);
   FakeReplica leader(io, "127.0.9.43", follower.port, true);
@@ -92,11 +93,11 @@
   for (const char* address : {"127.0.9.42", "127.0.9.43"}) cluster.add_seeds()->set_endpoint(address);
   ControlClient client(io, cluster);
   unsigned answered = 0;
-  boost::asio::co_spawn(io, attendTwice(client, answered), boost::asio::detached);
+  boost::asio::co_spawn(io, reportTwice(client, answered), boost::asio::detached);
   for (int turn = 0; turn < 100 && answered < 2; ++turn) io.run_for(milliseconds(20));
   io.run_for(milliseconds(100));
   cr_assert_eq(answered, 2);
-  cr_assert_eq(follower.asked, 1);
-  cr_assert_eq(follower.server.connections(), 0, "the follower keeps a connection that nobody uses");
+  cr_assert_eq(follower.requests, 1);
+  cr_assert_eq(follower.server.connections(), 0, "the follower keeps an unused connection");
   cr_assert_eq(leader.server.connections(), 1);
 }
--- a/test/log_store.cpp
+++ b/test/log_store.cpp
@@ -1,7 +1,8 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// The data folder: torn tails are cut, damage is refused with file and offset, wrong folders are refused.
+// The data folder: torn tails are cut; damage is reported with file and offset; folders of another cluster, replica or
+// format are refused.
 
 #include <filesystem>
 #include <fstream>
@@ -60,7 +61,7 @@
 
 }  // namespace
 
-Test(log_store, what_was_synced_is_read_back) {
+Test(log_store, synced_entries_are_read_back) {
   const Folder folder;
   fill(folder.path, 20);
   LogStore store(folder.path);
@@ -104,7 +105,7 @@
   cr_assert(failure.detail.find("offset 0") != std::string::npos, "%s", failure.text().c_str());
 }
 
-Test(log_store, folders_of_others_are_refused) {
+Test(log_store, folders_of_another_cluster_or_replica_are_refused) {
   const Folder folder;
   fill(folder.path, 1);
   cr_assert_eq(openFailure(folder.path, "other", 1).code, FailureCode::BadSettings);
@@ -123,7 +124,7 @@
   cr_assert_eq(openFailure(folder.path, "test", 1).code, FailureCode::BadSettings);
 }
 
-Test(log_store, a_snapshot_drops_the_log_before_it) {
+Test(log_store, compaction_drops_the_log_before_the_snapshot) {
   const Folder folder;
   fill(folder.path, 10);
   LogStore store(folder.path);
--- a/test/log_timeline.cpp
+++ b/test/log_timeline.cpp
@@ -1,7 +1,7 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// What several processes' logs tell of one id.
+// The timeline of one id from the logs of several processes.
 
 #include "Courseloom/src/Client/LogTimeline.h"
 
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-Test(log_timeline, lines_of_one_id_come_in_the_order_of_their_times) {
+Test(log_timeline, lines_of_one_id_are_sorted_by_time) {
   LogTimeline timeline("ab.0.0.0");
   std::istringstream leader(line("2026-01-01 00:00:02,000", "control-1", "TaskAccused", "ab.0.0.0") + "\n" +
                             line("2026-01-01 00:00:03,000", "control-1", "RunPlaced", "cd.0.0.0"));
@@ -34,7 +34,7 @@
             "2026-01-01 00:00:02,000 control-1 TaskAccused task=ab.0.0.0\n");
 }
 
-Test(log_timeline, nothing_is_said_of_an_id_that_no_line_names) {
+Test(log_timeline, an_id_that_no_line_names_has_an_empty_timeline) {
   LogTimeline timeline("ef");
   std::istringstream log(line("2026-01-01 00:00:02,000", "control-1", "TaskAccused", "ab.0.0.0"));
   timeline.read(log);
--- a/test/node_table.cpp
+++ b/test/node_table.cpp
@@ -1,7 +1,7 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// The leader's list of nodes when heartbeats overtake each other.
+// The leader's table of nodes when heartbeats arrive out of order.
 
 #include "Courseloom/src/Membership/NodeTable.h"
 
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-Test(node_table, a_late_heartbeat_of_a_former_life_is_not_believed) {
+Test(node_table, a_late_heartbeat_of_a_previous_incarnation_is_ignored) {
   NodeTable table(Lease);
   table.heard(agent(5, 9), Now);
   table.heard(agent(6, 1), Now + milliseconds(100));
@@ -35,10 +35,10 @@
   table.heard(agent(5, 10), Now + milliseconds(200));
   cr_assert_eq(table.targets().size(), 1);
   cr_assert_eq(table.targets()[0].incarnation(), 6);
-  cr_assert_eq(table.version(), version, "entries were told of a former life");
+  cr_assert_eq(table.version(), version, "entries were notified of a previous incarnation");
 }
 
-Test(node_table, a_late_heartbeat_does_not_call_a_leaving_target_back) {
+Test(node_table, a_late_heartbeat_does_not_cancel_leaving) {
   NodeTable table(Lease);
   table.heard(agent(5, 3, true), Now);
   table.heard(agent(5, 2), Now + milliseconds(100));
@@ -53,7 +53,7 @@
   cr_assert(table.targets().empty());
 }
 
-Test(node_table, the_same_heartbeat_may_come_twice) {
+Test(node_table, a_repeated_heartbeat_extends_the_lease) {
   NodeTable table(Lease);
   table.heard(agent(5, 3), Now);
   table.heard(agent(5, 3), Now + milliseconds(1900));
@@ -61,8 +61,8 @@
   cr_assert_eq(table.targets().size(), 1);
 }
 
-// An agent whose clock was set back has a lower incarnation than in its former life.
-Test(node_table, a_lower_life_is_believed_once_the_higher_one_is_silent) {
+// An agent whose clock was set back gets a lower incarnation number than before.
+Test(node_table, a_lower_incarnation_is_accepted_once_the_higher_one_has_expired) {
   NodeTable table(Lease);
   table.heard(agent(5, 3), Now);
   table.heard(agent(4, 1), Now + milliseconds(100));
@@ -71,8 +71,8 @@
   cr_assert_eq(table.targets()[0].incarnation(), 4);
 }
 
-// Entries have no incarnation, and nodes of older programs no sequence.
-Test(node_table, heartbeats_without_an_order_are_taken_as_they_come) {
+// Entries have no incarnation, and nodes of older versions have no sequence number.
+Test(node_table, heartbeats_without_an_order_are_applied_as_they_arrive) {
   NodeTable table(Lease);
   schema::NodeStatus entry;
   entry.set_name("entry-1");
@@ -87,7 +87,7 @@
   cr_assert(table.targets()[0].leaving());
 }
 
-Test(node_table, targets_in_a_drained_hall_are_leaving_until_it_is_given_back) {
+Test(node_table, targets_in_a_drained_hall_are_leaving_until_the_drain_ends) {
   NodeTable table(Lease);
   schema::NodeStatus inHall = agent(5, 1);
   inHall.set_data_hall("hall-1");
@@ -98,8 +98,8 @@
   const std::uint64_t version = table.version();
   table.setDrainedHalls({"hall-1"});
   cr_assert(table.targets()[0].leaving());
-  cr_assert(table.version() > version, "entries hear of it");
-  cr_assert_not(table.isLeaving(entry), "an entry there serves on");
+  cr_assert(table.version() > version, "entries have to be notified");
+  cr_assert_not(table.isLeaving(entry), "an entry in the hall stays in service");
   table.setDrainedHalls({});
   cr_assert_not(table.targets()[0].leaving());
 }
--- a/test/platform_calls.cpp
+++ b/test/platform_calls.cpp
@@ -1,7 +1,8 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// Calls to the platform: lives go out as the identities that it knows, and come back as lives.
+// Calls to the platform: an incarnation is sent as the identity that the platform knows, and answers are mapped back to
+// incarnations.
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -20,7 +21,7 @@
 const std::string Address = "127.0.9.9";
 
 /** \class PlatformPeer
- * \brief Answers each call with one body, and keeps the newest call.
+ * \brief Answers every call with the same body, and keeps the last call.
  */
 class PlatformPeer {
  public:
@@ -29,11 +30,11 @@
         m_server(io, HttpLimits(), [this](HttpRequest request, std::string) { return answer(std::move(request)); }) {}
   std::string start() { return Address + ":" + std::to_string(m_server.start(Address, 0).value()); }
 
-  HttpRequest heard;
+  HttpRequest lastRequest;
 
  private:
   Awaitable<HttpResponse> answer(HttpRequest request) {
-    heard = std::move(request);
+    lastRequest = std::move(request);
     co_return jsonResponse(200, m_body);
   }
 
@@ -49,14 +50,14 @@
   if (answer) tickets = std::move(*answer);
 }
 
-Awaitable<void> look(TargetPort& port, std::optional<TargetAnswer>& answer) {
+Awaitable<void> poll(TargetPort& port, std::optional<TargetAnswer>& answer) {
   Result<TargetAnswer> read = co_await port.hold("i-1@7", TargetHold(), milliseconds(1000));
   if (read) answer = std::move(*read);
 }
 
 }  // namespace
 
-Test(platform_calls, advice_is_asked_for_identities_and_holds_for_lives) {
+Test(platform_calls, advice_is_requested_by_identity_and_mapped_to_incarnations) {
   asio::io_context io;
   PlatformPeer peer(io, R"({"healthy":[["i-1","first"],["i-2","second"],["i-9","of another"]]})");
   schema::Settings settings;
@@ -67,13 +68,14 @@
   asio::co_spawn(io, advise(*port, tickets), asio::detached);
   io.run_for(milliseconds(300));
   cr_assert(tickets && tickets->size() == 3);
-  cr_assert(peer.heard.body().find(R"(["i-1","i-2"])") != std::string::npos, "%s", peer.heard.body().c_str());
+  cr_assert(peer.lastRequest.body().find(R"(["i-1","i-2"])") != std::string::npos, "%s",
+            peer.lastRequest.body().c_str());
   cr_assert_str_eq((*tickets)[0].target.c_str(), "i-1@7");
   cr_assert_str_eq((*tickets)[1].target.c_str(), "i-2");
   cr_assert_str_eq((*tickets)[2].target.c_str(), "i-9");
 }
 
-Test(platform_calls, a_look_tells_which_life_has_answered) {
+Test(platform_calls, a_poll_tells_which_incarnation_has_answered) {
   asio::io_context io;
   PlatformPeer peer(io, R"({"clock_ms":5,"running":[],"finished":[],"born":8})");
   schema::Settings settings;
@@ -81,9 +83,9 @@
   settings.mutable_runner()->set_target_endpoint(peer.start());
   const std::unique_ptr<TargetPort> port = platform::makeTargetPort(DaemonContext{io, settings, metrics});
   std::optional<TargetAnswer> answer;
-  asio::co_spawn(io, look(*port, answer), asio::detached);
+  asio::co_spawn(io, poll(*port, answer), asio::detached);
   io.run_for(milliseconds(300));
   cr_assert(answer.has_value());
   cr_assert_str_eq(answer->incarnation.c_str(), "i-1@8");
-  cr_assert_str_eq(std::string(peer.heard["X-Courseloom-Target-Instance"]).c_str(), "i-1");
+  cr_assert_str_eq(std::string(peer.lastRequest["X-Courseloom-Target-Instance"]).c_str(), "i-1");
 }
--- a/test/platform_formats.cpp
+++ b/test/platform_formats.cpp
@@ -1,7 +1,7 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// Messages of the users' platform, on written examples: sound, malformed, oversized, unknown.
+// Messages of the users' platform: valid, malformed, oversized and unknown examples.
 
 #include "platform/Formats.h"
 
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-Test(platform_formats, a_submission) {
+Test(platform_formats, a_submission_is_read) {
   Result<schema::WorkflowSpec> spec = readWorkflow(
       R"({"spec":"text","steps":[{"count":4,"cpu":500,"mem_mb":256,"estimate_ms":900,"affinity":"r1-3"},)"
       R"({"count":20,"cpu":2000,"gpu":8,"after":[0],"checkpointing":true,"gang":true,"same_rack":true,)"
@@ -48,7 +48,7 @@
   cr_assert_eq(spec->occurrences(), 3);
 }
 
-Test(platform_formats, submissions_that_cannot_be_read) {
+Test(platform_formats, malformed_submissions_are_refused) {
   const std::string bodies[] = {"",
                                 "[]",
                                 "{",
@@ -77,10 +77,10 @@
   cr_assert_eq(read->tenants(0).guaranteed_accelerators(), 16);
 }
 
-Test(platform_formats, invalid_configurations_are_refused_whole) {
+Test(platform_formats, invalid_configurations_are_refused_completely) {
   std::string wrong = Route;
   cr_assert(refusal(configuration(Route)).empty());
-  cr_assert_not(refusal(configuration(Route + "," + Route)).empty(), "same place twice");
+  cr_assert_not(refusal(configuration(Route + "," + Route)).empty(), "duplicate route");
   wrong.replace(wrong.find("3000"), 4, "0");
   cr_assert_not(refusal(configuration(wrong)).empty(), "no time-out");
   wrong = Route;
@@ -93,10 +93,10 @@
     cr_assert_not(refusal(whole.substr(0, length)).empty(), "cut at %zu", length);
   }
   cr_assert_not(refusal(R"({"routes":[],"services":[]})").empty(), "no version");
-  cr_assert_not(refusal(R"({"version":3})").empty(), "nothing in it");
+  cr_assert_not(refusal(R"({"version":3})").empty(), "no routes and services");
 }
 
-Test(platform_formats, an_announcement) {
+Test(platform_formats, an_announcement_is_read) {
   Result<TargetAnnouncement> read = readAnnouncement(
       "i-1", R"({"service":"s","address":"10.0.0.1:80","zone":"z","version":"v1","slots":8,"state":"draining",)"
              R"("cold_remaining_ms":0,"capacity":{"cpu":16000,"mem_mb":32768,"gpu":8},"labels":["a","r1-3"],)"
@@ -110,19 +110,20 @@
   cr_assert_not(bool(readAnnouncement("i-1", R"({"seq":"four"})")));
 }
 
-Test(platform_formats, a_life_is_an_identity_and_its_birth) {
+Test(platform_formats, an_incarnation_is_an_identity_and_its_start_time) {
   Result<TargetAnnouncement> first = readAnnouncement("i-1", R"({"born":1780703512345,"seq":1})");
   cr_assert(first && first->report.id() == "i-1@1780703512345");
   Result<TargetAnnouncement> silent = readAnnouncement("i-1", R"({"seq":1})");
-  cr_assert(silent && silent->report.id() == "i-1", "a platform without births has one life an identity");
+  cr_assert(silent && silent->report.id() == "i-1", "without start times an identity has one incarnation");
   for (const char* born : {R"("1780703512345")", "1780703512345.5", "-5", "true", "[]", "{}"}) {
     const std::string body = std::string(R"({"seq":1,"born":)") + born + "}";
     cr_expect_not(bool(readAnnouncement("i-1", body)), "%s", born);
     cr_expect_not(bool(readFarewell("i-1", body)), "%s", born);
-    const std::string look = std::string(R"({"clock_ms":5,"running":[],"finished":[],"born":)") + born + "}";
-    cr_expect_not(bool(readTargetLook(200, look)), "%s", born);
+    const std::string answer = std::string(R"({"clock_ms":5,"running":[],"finished":[],"born":)") + born + "}";
+    cr_expect_not(bool(readTargetLook(200, answer)), "%s", born);
   }
-  cr_assert_not(bool(readAnnouncement("i-1@1780703512345", R"({"seq":1})")), "an identity that poses as a life");
+  cr_assert_not(bool(readAnnouncement("i-1@1780703512345", R"({"seq":1})")),
+                "an identity in the form of an incarnation");
   cr_assert_not(bool(readAnnouncement("", R"({"seq":1})")));
   Result<TargetIncarnation> farewell = readFarewell("i-1", R"({"born":7})");
   cr_assert(farewell && farewell->name() == "i-1@7");
@@ -130,11 +131,11 @@
   cr_assert(bare && bare->name() == "i-1");
   const TargetIncarnation incarnation = TargetIncarnation::named("i-1@7");
   cr_assert(incarnation.id == "i-1" && incarnation.startTimeMs == 7);
-  Result<TargetAnswer> look = readTargetLook(200, R"({"clock_ms":5,"running":[],"finished":[],"born":7})");
-  cr_assert(look && look->startTimeMs == 7);
+  Result<TargetAnswer> answer = readTargetLook(200, R"({"clock_ms":5,"running":[],"finished":[],"born":7})");
+  cr_assert(answer && answer->startTimeMs == 7);
 }
 
-Test(platform_formats, names_of_tasks) {
+Test(platform_formats, names_of_tasks_are_read_and_written) {
   schema::TaskId task;
   cr_assert(readTaskName("5c0e7a21d94b36f8.0.1.17", task));
   cr_assert(taskName(task) == "5c0e7a21d94b36f8.0.1.17");
@@ -144,7 +145,7 @@
   }
 }
 
-Test(platform_formats, answers_of_a_target) {
+Test(platform_formats, answers_of_a_target_are_read) {
   Result<TargetAnswer> held = readTargetAnswer(
       200, R"({"clock_ms":482113,"running":[["5c0e7a21d94b36f8.0.1.17",2,"00000bb87a21d94b",41,9],["no task",1,"",0]],)"
            R"("finished":[[58,"5c0e7a21d94b36f8.0.1.9",1,"done",""],[59,"5c0e7a21d94b36f8.0.1.8",1,"alone",""]]})");
@@ -161,12 +162,12 @@
   cr_assert(other && other->verdict == TargetVerdict::OtherIncarnation);
   Result<TargetAnswer> unhealthy = readTargetAnswer(503, "<html>");
   cr_assert(unhealthy && unhealthy->verdict == TargetVerdict::Refused);
-  cr_assert_not(bool(readTargetAnswer(200, "cut sho")), "half an answer is none");
+  cr_assert_not(bool(readTargetAnswer(200, "cut sho")), "a truncated answer");
 }
 
-// What is not in a target's lists counts as not there, so an answer that holds no readable lists must not be taken for
-// one.
-Test(platform_formats, a_look_that_cannot_be_read_whole_is_none) {
+// A run that is missing from a target's lists counts as not present, so an answer without readable lists must not be
+// accepted as a poll's answer.
+Test(platform_formats, an_answer_to_a_poll_that_is_not_completely_readable_is_refused) {
   const std::string own = R"("5c0e7a21d94b36f8.0.1.9")";
   const std::string bodies[] = {"",
                                 "{}",
@@ -184,13 +185,13 @@
   const std::string none = R"({"clock_ms":5,"running":[],"finished":[]})";
   cr_assert(bool(readTargetLook(200, none)));
   const std::string row = R"({"clock_ms":5,"running":[],"finished":[[1,)" + own + R"(,1,"done",""]]})";
-  Result<TargetAnswer> look = readTargetLook(200, row);
-  cr_assert(look && look->ends.size() == 1);
+  Result<TargetAnswer> answer = readTargetLook(200, row);
+  cr_assert(answer && answer->ends.size() == 1);
   Result<TargetAnswer> refused = readTargetLook(503, "<html>");
   cr_assert(refused && refused->verdict == TargetVerdict::Refused);
 }
 
-Test(platform_formats, orders) {
+Test(platform_formats, orders_are_written) {
   TargetStart start;
   *start.order.mutable_task() = makeTaskId("ab", {0, 1, 2});
   start.order.set_run(3);
@@ -206,16 +207,16 @@
   cr_assert(writeHold(hold) == R"({"fencing_token":7,"last_seen":0})");
 }
 
-Test(platform_formats, a_list_of_as_many_ends_as_a_target_lists_may_leave_some_out) {
-  const auto look = [](unsigned count) {
+Test(platform_formats, a_list_of_the_maximum_number_of_ends_may_be_incomplete) {
+  const auto answer = [](unsigned count) {
     std::string rows;
     for (unsigned i = 1; i <= count; ++i) {
       rows += (i > 1 ? "," : "") + std::string("[") + std::to_string(i) + R"(,"5c0e7a21d94b36f8.0.1.9",1,"done",""])";
     }
     return R"({"clock_ms":5,"running":[],"finished":[)" + rows + "]}";
   };
-  Result<TargetAnswer> whole = readTargetLook(200, look(499));
+  Result<TargetAnswer> whole = readTargetLook(200, answer(499));
   cr_assert(whole && !whole->moreEnds);
-  Result<TargetAnswer> cut = readTargetLook(200, look(500));
+  Result<TargetAnswer> cut = readTargetLook(200, answer(500));
   cr_assert(cut && cut->moreEnds);
 }
--- a/test/queue_gateway.cpp
+++ b/test/queue_gateway.cpp
@@ -1,7 +1,7 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// What an entry tells the caller of a submission while no replica can answer it.
+// Answers of an entry to the caller of a submission while no replica answers.
 
 #include "Courseloom/src/Entry/QueueGateway.h"
 
@@ -21,12 +21,12 @@
 const std::string Replica = "127.0.9.31";
 constexpr Duration CallerTime = milliseconds(3000);
 
-/** \class DarkReplica
- * \brief A leader that answers nothing until an instant, as one without power does.
+/** \class PausedReplica
+ * \brief A leader that answers nothing until a given time, like one without power.
  */
-class DarkReplica {
+class PausedReplica {
  public:
-  DarkReplica(asio::io_context& io, Duration dark) : m_server(io), m_lightAt(BootClock::now() + dark) {
+  PausedReplica(asio::io_context& io, Duration pause) : m_server(io), m_answersFrom(BootClock::now() + pause) {
     m_server.handle<schema::QueueCall>("queue", [this](schema::QueueCall, std::string) { return answer(); });
     port = m_server.start(Replica, 0).value();
   }
@@ -34,24 +34,24 @@
 
  private:
   Awaitable<Result<schema::QueueAnswer>> answer() {
-    if (BootClock::now() < m_lightAt) co_await sleepFor(milliseconds(60000));
+    if (BootClock::now() < m_answersFrom) co_await sleepFor(milliseconds(60000));
     schema::QueueAnswer accepted;
     accepted.set_outcome(schema::QueueAccepted);
     co_return accepted;
   }
   RpcServer m_server;
-  Time m_lightAt;
+  Time m_answersFrom;
 };
 
-/** How a call ended, and when. */
-struct CallEnd {
+/** Outcome and duration of a call. */
+struct CallResult {
   bool ended = false;
   bool answered = false;
   Ran ran = Ran::No;
   Duration took{};
 };
 
-Awaitable<void> ask(QueueGateway& gateway, schema::QueueCallKind kind, CallEnd& end) {
+Awaitable<void> ask(QueueGateway& gateway, schema::QueueCallKind kind, CallResult& end) {
   const Time before = BootClock::now();
   schema::QueueCall call;
   call.set_kind(kind);
@@ -62,14 +62,14 @@
   end.ended = true;
 }
 
-CallEnd askReplicaAt(asio::io_context& io, unsigned port, schema::QueueCallKind kind) {
+CallResult callReplicaAt(asio::io_context& io, unsigned port, schema::QueueCallKind kind) {
   schema::ClusterSettings settings;
   settings.set_election_timeout_ms(200);
   settings.set_seed_rpc_port(port);
   settings.add_seeds()->set_endpoint(Replica + ":1");
   ControlClient control(io, settings);
   QueueGateway gateway(control);
-  CallEnd end;
+  CallResult end;
   asio::co_spawn(io, ask(gateway, kind, end), asio::detached);
   for (int i = 0; i < 400 && !end.ended; ++i) io.run_for(milliseconds(10));
   cr_assert(end.ended);
@@ -78,41 +78,42 @@
 
 }  // namespace
 
-// All replicas dark for 2.2 s of a caller's 3 s: told in doubt after 1.8 s, submissions were committed a moment later.
-Test(queue_gateway, a_doubt_is_asked_again_until_there_is_an_answer) {
+// Guards against giving up too early: with all replicas down for 2.2 s of a caller's 3 s, the caller got an unknown
+// outcome after 1.8 s, and the submission was committed a moment later.
+Test(queue_gateway, a_call_with_unknown_outcome_is_retried_until_there_is_an_answer) {
   asio::io_context io;
-  DarkReplica replica(io, milliseconds(2200));
-  const CallEnd end = askReplicaAt(io, replica.port, schema::QueueSubmit);
+  PausedReplica replica(io, milliseconds(2200));
+  const CallResult end = callReplicaAt(io, replica.port, schema::QueueSubmit);
   cr_assert(end.answered, "the caller had time left when the replica came back");
 }
 
-Test(queue_gateway, a_doubt_that_stays_is_told_within_the_callers_time) {
+Test(queue_gateway, an_outcome_that_stays_unknown_is_reported_before_the_callers_deadline) {
   asio::io_context io;
-  DarkReplica replica(io, milliseconds(20000));
-  const CallEnd end = askReplicaAt(io, replica.port, schema::QueueCancel);
+  PausedReplica replica(io, milliseconds(20000));
+  const CallResult end = callReplicaAt(io, replica.port, schema::QueueCancel);
   cr_assert_not(end.answered);
   cr_assert(end.ran == Ran::Unknown);
   cr_assert(end.took < CallerTime, "its answer has to reach the caller");
 }
 
-// A question changes nothing, so the caller hears early that there is no answer and can come back.
-Test(queue_gateway, a_question_is_given_up_early) {
+// A query changes nothing, so the caller gets its failure early and can retry.
+Test(queue_gateway, a_query_is_given_up_early) {
   asio::io_context io;
-  DarkReplica replica(io, milliseconds(20000));
-  const CallEnd end = askReplicaAt(io, replica.port, schema::QueueState);
+  PausedReplica replica(io, milliseconds(20000));
+  const CallResult end = callReplicaAt(io, replica.port, schema::QueueState);
   cr_assert_not(end.answered);
   cr_assert(end.took < CallerTime * 2 / 3);
 }
 
-Test(queue_gateway, what_surely_did_not_run_is_given_up_early_and_said_so) {
+Test(queue_gateway, a_call_that_did_not_run_is_given_up_early_and_reported_so) {
   asio::io_context io;
   unsigned deadPort = 0;
   {
-    DarkReplica replica(io, milliseconds(0));
+    PausedReplica replica(io, milliseconds(0));
     deadPort = replica.port;
   }
   io.run_for(milliseconds(50));
-  const CallEnd end = askReplicaAt(io, deadPort, schema::QueueSubmit);
+  const CallResult end = callReplicaAt(io, deadPort, schema::QueueSubmit);
   cr_assert_not(end.answered);
   cr_assert(end.ran == Ran::No, "nothing listened there");
   cr_assert(end.took < CallerTime * 2 / 3);
--- a/test/reclaim.cpp
+++ b/test/reclaim.cpp
@@ -1,7 +1,7 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// An owner's shape among others' backfills, in the scheduler and on real processes.
+// Reclaim of an owner's shape from backfills of others, on real processes.
 
 #include <google/protobuf/util/json_util.h>
 
@@ -35,8 +35,9 @@
   return running;
 }
 
-/** Breaks a running gang that must run once, while the platform answers its stops with a status and does nothing. */
-void playRefusedStops(const std::string& status) {
+/** Loses a worker of a running gang that must run only once, while the platform answers each stop with a status and
+ * does not stop anything. The gang must not be started again, and is lost once the platform stops it. */
+void checkRefusedStops(const std::string& status) {
   Deployment deployment({3, 1, 1, "--workers 6", "", ""});
   deployment.setUp();
   cr_assert_eq(deployment.apply(GuaranteeJson).status, 200);
@@ -76,11 +77,11 @@
   deployment.submit(job("andes", 2, R"("notRepeatable":true,"urgency":"Urgent","expectedMs":300)"));
   const HttpReply done = deployment.waitJob("job-7", 20000);
   cr_assert(done.has("JobFinished"), "%s after %.0f ms", done.body.c_str(), toMilliseconds(BootClock::now() - begun));
-  // The two that made room go on from their checkpoints.
+  // The two jobs that were stopped for it continue from their checkpoints.
   cr_assert(deployment.until({deployment.http("entry-1"), "GET", "/v1/jobs"}, "-checkpoint-"));
 }
 
-Test(reclaim, a_guarantee_beyond_the_cluster_is_refused_with_the_nearest) {
+Test(reclaim, a_guarantee_beyond_the_clusters_capacity_is_refused_with_the_nearest) {
   Deployment deployment({1, 1, 1, "--workers 3", "", ""});
   deployment.setUp();
   const HttpReply reply = deployment.apply(
@@ -89,7 +90,7 @@
   cr_assert(reply.has("has 3 tasks") && reply.has("\"ran\":\"no\""), "%s", reply.body.c_str());
 }
 
-Test(reclaim, a_gang_whose_member_refuses_to_start_is_stopped_whole) {
+Test(reclaim, a_gang_with_a_member_that_cannot_start_is_stopped_completely) {
   Deployment deployment({3, 1, 1, "--workers 3", "", ""});
   deployment.setUp();
   send({deployment.http("platform"), "POST", "/behave?refuseStart=worker-2"});
@@ -100,8 +101,9 @@
   cr_assert(deployment.until({deployment.http("entry-1"), "GET", "/v1/jobs/job-1"}, "JobRunning"));
 }
 
-// The others are frozen for less than an election timeout, and for longer than the leader may read without them.
-Test(reclaim, a_leader_that_was_out_of_touch_for_a_moment_goes_on_with_a_gang) {
+// The followers are paused for less than an election timeout, but for longer than the leader's read lease lasts without
+// them.
+Test(reclaim, a_leader_that_briefly_lost_contact_continues_to_start_a_gang) {
   Deployment deployment({3, 1, 1, "--workers 3", "", ""});
   deployment.setUp();
   send({deployment.http("platform"), "POST", "/behave?refuseStart=worker-2"});
@@ -119,7 +121,7 @@
   cr_assert(deployment.until({deployment.http("entry-1"), "GET", "/v1/jobs/job-1"}, "JobRunning"));
 }
 
-Test(reclaim, the_leader_killed_while_a_gang_starts_leaves_one_run) {
+Test(reclaim, a_leader_killed_while_a_gang_starts_leaves_one_run) {
   Deployment deployment({3, 1, 1, "--workers 6", "", ""});
   deployment.setUp();
   cr_assert_eq(deployment.apply(GuaranteeJson).status, 200);
@@ -130,11 +132,11 @@
   cr_assert(send({deployment.http("platform"), "GET", "/audit"}).has("\"job-1\":2"), "each task started once");
 }
 
-Test(reclaim, a_stop_that_the_platform_refuses_leaves_the_gang_running) { playRefusedStops("200"); }
+Test(reclaim, a_gang_is_not_started_again_while_the_platform_refuses_its_stop) { checkRefusedStops("200"); }
 
-Test(reclaim, a_stop_that_the_platform_has_no_time_for_leaves_the_gang_running) { playRefusedStops("503"); }
+Test(reclaim, a_gang_is_not_started_again_while_the_platform_is_too_busy_to_stop_it) { checkRefusedStops("503"); }
 
-Test(reclaim, a_platform_that_is_busy_has_not_lost_its_workers) {
+Test(reclaim, the_workers_of_a_busy_platform_do_not_count_as_lost) {
   Deployment deployment({3, 1, 1, "--workers 3", "", ""});
   deployment.setUp();
   deployment.submit(job("retail", 3, R"("expectedMs":60000)"));
--- a/test/replica_proofs.cpp
+++ b/test/replica_proofs.cpp
@@ -1,7 +1,8 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// What the replicas' protections are for: each proof fails with one of them switched off, and passes with it.
+// Proofs of the replicas' safety mechanisms: with a mechanism switched off its failure occurs, with it the check
+// passes.
 
 #include <csignal>
 
@@ -22,7 +23,7 @@
   }
 }
 
-/** Replaces one follower's disk and waits until the others have dropped it. \returns its node */
+/** Replaces one follower's disk with an empty one and waits 500 ms. \returns its node */
 std::size_t replaceFollower(ReplicaCluster& cluster) {
   const auto leader = static_cast<std::size_t>(cluster.leader());
   const std::size_t follower = (leader + 1) % 3;
@@ -34,19 +35,19 @@
 
 }  // namespace
 
-Test(replica_proofs, a_wiped_disk_that_votes_overwrites_what_was_committed, .signal = SIGABRT) {
+Test(replica_proofs, without_disk_identity_a_wiped_disk_overwrites_committed_entries, .signal = SIGABRT) {
   ReplicaMechanisms mechanisms;
   mechanisms.diskIdentity = false;
   for (std::uint64_t seed = 1; seed <= 2000; ++seed) {
     ReplicaCluster cluster(3, seed, {}, mechanisms);
     cluster.run(Steps);
     cluster.healAndCheck();
-    // Either the checker sees it, or the replica itself stops before it overwrites a committed entry.
+    // Either the checker finds the violation, or the replica itself aborts before it overwrites a committed entry.
     if (!cluster.violation().empty()) std::abort();
   }
 }
 
-Test(replica_proofs, a_wiped_disk_rejoins_by_itself) {
+Test(replica_proofs, a_replica_with_a_wiped_disk_rejoins_without_an_operator) {
   ReplicaCluster cluster(3, 7, {0, 0, false, false, false, false, false});
   cluster.advance(milliseconds(2000));
   commitSome(cluster, 100);
@@ -58,12 +59,12 @@
   cr_assert_eq(cluster.missingOnDisk(wiped), 0);
 }
 
-Test(replica_proofs, a_second_loss_after_the_repair_loses_nothing) {
+Test(replica_proofs, commands_during_a_repair_are_on_both_remaining_disks) {
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     ReplicaCluster cluster(3, seed, {0, 0, false, false, false, false, false});
     cluster.advance(milliseconds(2000));
     commitSome(cluster, 30);
-    // The new disk cannot be reached, so redundancy is not restored when the second disk is lost.
+    // The new disk cannot be reached, so redundancy is not restored and each command has to be on both other disks.
     const auto leader = static_cast<std::size_t>(cluster.leader());
     const std::size_t first = (leader + 1) % 3;
     const std::size_t second = (leader + 2) % 3;
@@ -80,7 +81,7 @@
   }
 }
 
-Test(replica_proofs, a_leader_cut_off_in_silence_stops_reading_and_steps_down) {
+Test(replica_proofs, a_leader_that_is_cut_off_stops_serving_reads_and_steps_down) {
   ReplicaCluster cluster(3, 3, {0, 0, false, false, false, false, false});
   cluster.advance(milliseconds(2000));
   commitSome(cluster, 5);
@@ -97,7 +98,8 @@
 
 enum class SlowDisks { Followers, Leader, All };
 
-/** Commits beside disks whose syncs take 1.9 s each. \returns whether the leader stayed leader all the time */
+/** Commits commands with slow disks, whose syncs take 1.9 s each. \returns whether the leader could serve reads all the
+ * time */
 bool leadsBesideSlowDisks(SlowDisks slow, const ReplicaMechanisms& mechanisms) {
   ReplicaCluster cluster(3, 11, {0, 0, false, false, false, false, false}, mechanisms);
   cluster.advance(milliseconds(2000));
@@ -118,8 +120,9 @@
 
 }  // namespace
 
-// Entries refused requests as not fresh beside syncs of 0.4 to 1.9 s: followers answered heartbeats only after them.
-Test(replica_proofs, followers_with_slow_disks_leave_the_leader_its_lease) {
+// Guards against followers that answer heartbeats only after their sync: with syncs of 0.4 to 1.9 s the leader lost its
+// lease, and entries refused requests as not fresh.
+Test(replica_proofs, a_leader_of_followers_with_slow_disks_keeps_its_lease) {
   cr_assert(leadsBesideSlowDisks(SlowDisks::Followers, {}));
   ReplicaMechanisms silent;
   silent.contactWhileStoring = false;
@@ -128,10 +131,10 @@
 
 Test(replica_proofs, a_leader_with_a_slow_disk_keeps_its_lease) {
   cr_assert(leadsBesideSlowDisks(SlowDisks::Leader, {}));
-  cr_assert(leadsBesideSlowDisks(SlowDisks::All, {}), "one machine's disks are slow together");
+  cr_assert(leadsBesideSlowDisks(SlowDisks::All, {}), "all disks of one machine may be slow together");
 }
 
-Test(replica_proofs, a_standby_takes_the_place_of_a_silent_voter_which_follows_when_it_returns) {
+Test(replica_proofs, a_standby_replaces_a_silent_voter_which_follows_when_it_returns) {
   ReplicaCluster cluster(4, 5, {0, 0, false, false, false, false, false}, {}, {1, milliseconds(400), 3});
   cluster.advance(milliseconds(2000));
   commitSome(cluster, 10);
@@ -150,12 +153,12 @@
   cr_assert_eq(cluster.replica(silent)->members().retired_disks_size(), 0, "a sound disk was retired");
 }
 
-Test(replica_proofs, a_replica_gone_for_good_is_forgotten_and_may_return) {
+Test(replica_proofs, a_replica_that_stays_unreachable_is_removed_from_the_members) {
   ReplicaCluster cluster(4, 5, {0, 0, false, false, false, false, false}, {}, {1, milliseconds(200), 3});
   cluster.advance(milliseconds(2000));
   const auto leader = static_cast<std::size_t>(cluster.leader());
-  const std::size_t gone = (leader + 1) % 3;
-  cluster.cut(gone, true);
+  const std::size_t unreachable = (leader + 1) % 3;
+  cluster.cut(unreachable, true);
   cluster.advance(milliseconds(4000));
   commitSome(cluster, 5);
   cr_assert_eq(cluster.replica(leader)->members().members_size(), 3);
--- a/test/router.cpp
+++ b/test/router.cpp
@@ -1,7 +1,7 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// Choice of target, ejection with a floor, the retry budget, and views that never go back.
+// Choice of target, ejection with a limit, the retry budget, and views that never go back to an older state.
 
 #include "Courseloom/src/Routing/Router.h"
 #include "Courseloom/src/Routing/View.h"
@@ -38,7 +38,7 @@
 
 }  // namespace
 
-Test(router, the_less_loaded_of_two_is_taken) {
+Test(router, the_less_loaded_of_two_targets_is_chosen) {
   Router router({});
   auto targets = makeTargets(2);
   targets[0]->inFlight = 6;
@@ -47,7 +47,7 @@
   }
 }
 
-Test(router, failing_targets_are_ejected_but_never_too_many) {
+Test(router, failing_targets_are_ejected_up_to_a_limit) {
   Router router({});
   auto targets = makeTargets(4);
   for (const TargetPointer& target : targets) {
@@ -58,10 +58,10 @@
     ejected += target->ejectedUntil.load() > Now.time_since_epoch().count() ? 1 : 0;
   cr_assert_eq(ejected, 2);
   cr_assert_neq(router.pick(targets, {"t2", "t3"}, Now, 1), nullptr,
-                "with all others tried an ejected one is better than none");
+                "an ejected target is chosen if all others have been tried");
 }
 
-Test(router, leaving_targets_get_nothing) {
+Test(router, leaving_targets_get_no_requests) {
   Router router({});
   auto targets = makeTargets(2);
   targets[0]->leaving = true;
@@ -79,7 +79,7 @@
   cr_assert_eq(retries, 20);
 }
 
-Test(router, a_view_never_goes_back) {
+Test(router, a_view_never_goes_back_to_an_older_state) {
   const ViewBuilder builder([](const std::string&, unsigned) { return std::shared_ptr<RpcClient>(); });
   const View empty;
   const auto first = builder.next(empty, reply(3, 10, 1));
--- a/test/rpc_outcome.cpp
+++ b/test/rpc_outcome.cpp
@@ -1,8 +1,8 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// What a caller is told of a call whose connection brought no answer. A peer handles a call once it has the whole of
-// it, so that one whose end never left surely did not run; of any other nobody knows.
+// The outcome of a call that got no answer. A peer handles a call only once it has received all of it. A call whose end
+// was never sent therefore did not run; the outcome of any other call is unknown.
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -20,15 +20,15 @@
 
 namespace {
 
-/** More than a peer's first window takes. */
+/** More bytes than a peer's initial window allows. */
 constexpr std::size_t LargeCall = 4ULL << 20U;
 
-/** \class DeafPeer
+/** \class UnreadingPeer
  * \brief Accepts a connection and reads nothing from it.
  */
-class DeafPeer {
+class UnreadingPeer {
  public:
-  explicit DeafPeer(asio::io_context& io) : m_acceptor(io, {asio::ip::make_address("127.0.0.1"), 0}) {
+  explicit UnreadingPeer(asio::io_context& io) : m_acceptor(io, {asio::ip::make_address("127.0.0.1"), 0}) {
     m_acceptor.async_accept(
         [this](boost::system::error_code, asio::ip::tcp::socket socket) { m_socket.emplace(std::move(socket)); });
   }
@@ -43,7 +43,7 @@
   std::optional<asio::ip::tcp::socket> m_socket;
 };
 
-Awaitable<void> ask(std::shared_ptr<RpcClient> client, std::size_t size, std::optional<Failure>& failure) {
+Awaitable<void> callPeer(std::shared_ptr<RpcClient> client, std::size_t size, std::optional<Failure>& failure) {
   schema::RunRequest request;
   request.set_body(std::string(size, 'x'));
   const Time deadline = BootClock::now() + milliseconds(400);
@@ -51,12 +51,13 @@
   if (!reply) failure = extractFailure(reply);
 }
 
-/** \returns what a caller is told by a peer that reads nothing. */
-Failure toldOf(std::size_t size, bool reset) {
+/** \returns the failure of a call to a peer that reads nothing. \param reset whether the peer resets the connection */
+Failure failureOf(std::size_t size, bool reset) {
   asio::io_context io;
-  DeafPeer peer(io);
+  UnreadingPeer peer(io);
   std::optional<Failure> failure;
-  asio::co_spawn(io, ask(std::make_shared<RpcClient>(io, "127.0.0.1", peer.port()), size, failure), asio::detached);
+  asio::co_spawn(io, callPeer(std::make_shared<RpcClient>(io, "127.0.0.1", peer.port()), size, failure),
+                 asio::detached);
   io.run_for(milliseconds(150));
   if (reset) peer.reset();
   for (int i = 0; i < 200 && !failure; ++i) io.run_for(milliseconds(10));
@@ -66,12 +67,12 @@
 
 }  // namespace
 
-Test(rpc_outcome, a_call_whose_end_never_left_did_not_run) {
-  cr_assert_eq(static_cast<int>(toldOf(LargeCall, false).ran), static_cast<int>(Ran::No), "after a time-out");
-  cr_assert_eq(static_cast<int>(toldOf(LargeCall, true).ran), static_cast<int>(Ran::No), "after a reset");
+Test(rpc_outcome, a_call_that_was_not_sent_completely_did_not_run) {
+  cr_assert_eq(static_cast<int>(failureOf(LargeCall, false).ran), static_cast<int>(Ran::No), "after a time-out");
+  cr_assert_eq(static_cast<int>(failureOf(LargeCall, true).ran), static_cast<int>(Ran::No), "after a reset");
 }
 
-Test(rpc_outcome, of_a_call_that_left_whole_nobody_knows) {
-  cr_assert_eq(static_cast<int>(toldOf(10, false).ran), static_cast<int>(Ran::Unknown), "after a time-out");
-  cr_assert_eq(static_cast<int>(toldOf(10, true).ran), static_cast<int>(Ran::Unknown), "after a reset");
+Test(rpc_outcome, a_call_that_was_sent_completely_has_an_unknown_outcome) {
+  cr_assert_eq(static_cast<int>(failureOf(10, false).ran), static_cast<int>(Ran::Unknown), "after a time-out");
+  cr_assert_eq(static_cast<int>(failureOf(10, true).ran), static_cast<int>(Ran::Unknown), "after a reset");
 }
--- a/test/run_history.cpp
+++ b/test/run_history.cpp
@@ -1,7 +1,7 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// The fault soak's checker: each kind of broken promise is found, and sound histories pass.
+// The checker of the fault soak finds each kind of violation and passes correct histories.
 
 #include <sys/stat.h>
 #include <unistd.h>
@@ -32,19 +32,21 @@
     return expected;
   }
   void event(const std::string& line) { history.add(parseRunEvent(line).value()); }
-  std::string found(bool calm = false) const {
+  std::string found(bool healed = false) const {
     std::string text;
-    for (const std::string& line : history.check(jobs, now, calm)) text += line + "\n";
+    for (const std::string& line : history.check(jobs, now, healed)) text += line + "\n";
     return text;
   }
-  bool finds(const std::string& text, bool calm = false) const { return found(calm).find(text) != std::string::npos; }
+  bool finds(const std::string& text, bool healed = false) const {
+    return found(healed).find(text) != std::string::npos;
+  }
 };
 
 }  // namespace
 
-Test(run_history, a_sound_history_passes) {
+Test(run_history, a_correct_history_passes) {
   Case test;
-  test.job().fate = JobFate::Completed;
+  test.job().outcome = JobOutcome::Completed;
   test.event("1000 started i-1 aa.0.0.0 1 -");
   test.event("2000 ended i-1 aa.0.0.0 1 stopped");
   test.event("2500 started i-2 aa.0.0.0 2 -");
@@ -62,7 +64,7 @@
   cr_assert(test.finds("two at once"));
 }
 
-Test(run_history, what_ran_in_a_life_ends_with_it) {
+Test(run_history, runs_end_with_their_incarnation) {
   Case test;
   test.job();
   test.event("1000 started i-1 aa.0.0.0 1 -");
@@ -71,18 +73,18 @@
   cr_assert_not(test.finds("two at once"));
 }
 
-Test(run_history, a_start_after_a_noted_end_is_found) {
+Test(run_history, a_start_after_an_acknowledged_end_is_found) {
   Case test;
   test.job();
   test.event("1000 started i-1 aa.0.0.0 1 -");
   test.event("1500 ended i-1 aa.0.0.0 1 done");
   test.event("2000 started i-2 aa.0.0.0 2 -");
-  cr_assert_not(test.finds("started after done"), "an end that nobody could know of");
+  cr_assert_not(test.finds("started after done"), "the end was not acknowledged yet");
   test.event("2100 noted i-1 aa.0.0.0 1 done");
   cr_assert(test.finds("started after done"));
 }
 
-Test(run_history, an_end_that_is_noted_after_the_hold_ran_out_binds_nobody) {
+Test(run_history, a_start_after_an_end_acknowledged_past_the_hold_passes) {
   Case test;
   test.job();
   test.event("1000 started i-1 aa.0.0.0 1 -");
@@ -93,7 +95,7 @@
   cr_assert_not(test.finds("started after done"));
 }
 
-Test(run_history, refused_work_that_ran_and_work_that_nobody_sent_are_found) {
+Test(run_history, refused_jobs_that_ran_and_jobs_that_nobody_sent_are_found) {
   Case test;
   test.job().accepted = false;
   test.event("1000 started i-1 aa.0.0.0 1 -");
@@ -104,7 +106,7 @@
   cr_assert_not(test.finds("ran although refused"));
 }
 
-Test(run_history, part_of_a_gang_for_long_is_found) {
+Test(run_history, a_partial_gang_that_runs_for_long_is_found) {
   Case test;
   test.job(2).gang = true;
   test.event("1000 started i-1 aa.0.0.0 1 -");
@@ -113,25 +115,25 @@
   cr_assert_not(test.finds("part of a gang"));
 }
 
-Test(run_history, false_states_are_found) {
+Test(run_history, wrong_states_of_jobs_are_found) {
   Case test;
-  test.job(2).fate = JobFate::Completed;
+  test.job(2).outcome = JobOutcome::Completed;
   test.event("1000 started i-1 aa.0.0.0 1 -");
   test.event("1500 ended i-1 aa.0.0.0 1 done");
   cr_assert(test.finds("shown as completed, 1 of 2"));
   test.job().gang = true;
   cr_assert_not(test.finds("shown as completed"), "one member's end counts for its gang");
   test.job().gang = false;
-  test.job().fate = JobFate::Failed;
+  test.job().outcome = JobOutcome::Failed;
   cr_assert(test.finds("failed without cause"));
-  test.job().fate = JobFate::Cancelled;
+  test.job().outcome = JobOutcome::Cancelled;
   cr_assert(test.finds("cancelled by nobody"));
-  test.job().fate = JobFate::Open;
+  test.job().outcome = JobOutcome::Open;
   cr_assert(test.finds("accepted and never ended", true));
 }
 
-// Each end of a connection is told apart from the other, and from closed connections that had one of its ports.
-Test(run_history, the_owner_of_a_connection_is_found_beside_closed_ones_of_the_same_port) {
+// The query has to distinguish the two ends of a connection, and closed connections that used one of its ports.
+Test(run_history, the_owner_of_a_connection_is_found_among_closed_ones_of_the_same_port) {
   namespace asio = boost::asio;
   using Tcp = asio::ip::tcp;
   asio::io_context io;
@@ -153,7 +155,7 @@
     return static_cast<std::uint32_t>(status.st_ino);
   };
   cr_assert_eq(inodeOfConnection(caller, proxy), inodeOf(second));
-  cr_assert_eq(inodeOfConnection(proxy, caller), inodeOf(secondAccepted), "the far end is another's");
+  cr_assert_eq(inodeOfConnection(proxy, caller), inodeOf(secondAccepted), "the far end has another socket");
   cr_assert_eq(inodeOfConnection(closed, proxy), 0, "a closed connection has no owner");
   cr_assert_eq(ownerOfConnection(caller, proxy, {getpid()}), getpid());
   cr_assert_eq(ownerOfConnection(caller, proxy, {}), 0);
@@ -164,22 +166,22 @@
     Case test;
     test.job().crashes = true;
     for (unsigned i = 1; i <= starts; ++i) {
-      const std::string life = "i-" + std::to_string(i);
-      test.event(std::to_string(1000 * i) + " started " + life + " aa.0.0.0 " + std::to_string(i) + " -");
-      test.event(std::to_string(1000 * i + 10) + " over " + life + " - 0 crash");
+      const std::string incarnation = "i-" + std::to_string(i);
+      test.event(std::to_string(1000 * i) + " started " + incarnation + " aa.0.0.0 " + std::to_string(i) + " -");
+      test.event(std::to_string(1000 * i + 10) + " over " + incarnation + " - 0 crash");
     }
     cr_assert_eq(test.finds("started three times more"), starts == 6);
   }
 }
 
-Test(run_history, a_job_is_given_up_without_cause_before_two_crashes) {
+Test(run_history, a_job_given_up_before_two_crashes_is_found) {
   for (const unsigned crashes : {1U, 2U}) {
     Case test;
-    test.job().fate = JobFate::Failed;
+    test.job().outcome = JobOutcome::Failed;
     for (unsigned i = 1; i <= crashes; ++i) {
-      const std::string life = "i-" + std::to_string(i);
-      test.event(std::to_string(1000 * i) + " started " + life + " aa.0.0.0 " + std::to_string(i) + " -");
-      test.event(std::to_string(1000 * i + 10) + " over " + life + " - 0 crash");
+      const std::string incarnation = "i-" + std::to_string(i);
+      test.event(std::to_string(1000 * i) + " started " + incarnation + " aa.0.0.0 " + std::to_string(i) + " -");
+      test.event(std::to_string(1000 * i + 10) + " over " + incarnation + " - 0 crash");
     }
     cr_assert_eq(test.finds("failed without cause"), crashes == 1);
   }
--- a/test/settings.cpp
+++ b/test/settings.cpp
@@ -58,7 +58,7 @@
   ASSERT_NAMES(Node + Cluster + "edge:\n  controlEndpoint: 10.0.0.1\n", "file.yaml:6"s, "edge.controlEndpoint"s);
 }
 
-Test(settings, a_section_of_switches_that_is_left_out_has_its_defaults_and_a_switch_can_be_off) {
+Test(settings, an_omitted_section_of_switches_has_its_defaults_and_a_switch_can_be_off) {
   schema::Settings settings;
   cr_assert(bool(readYaml(Node + Cluster, "file.yaml", settings)));
   cr_assert(bool(checkRequired("file.yaml", settings)));
@@ -69,7 +69,7 @@
   cr_assert_not(off.policy().waves());
 }
 
-Test(settings, a_later_file_is_laid_over_an_earlier_one) {
+Test(settings, a_later_file_overrides_an_earlier_one) {
   schema::Settings settings;
   cr_assert(bool(readYaml(Node + Cluster, "a", settings)));
   cr_assert(bool(readYaml("node: {name: other}\n", "b", settings)));
--- a/test/silent_connections.cpp
+++ b/test/silent_connections.cpp
@@ -1,8 +1,8 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// Connections that fall silent for good, without a reset, while new ones work: what notices it, and how many calls it
-// costs.
+// Connections that become silent for good, without a reset, while new ones work: they have to be detected, and each
+// detection must cost few calls.
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -27,12 +27,12 @@
 constexpr unsigned Connections = 6;
 constexpr Duration CallLimit = milliseconds(200);
 
-/** \class SilentLink
+/** \class SilenceableLink
  * \brief A proxy whose established connections can be silenced.
  */
-class SilentLink {
+class SilenceableLink {
  public:
-  SilentLink(asio::io_context& io, unsigned serverPort)
+  SilenceableLink(asio::io_context& io, unsigned serverPort)
       : m_proxy(io, m_rules, [](const auto&, const auto&) { return std::string("caller"); }), m_port(serverPort + 1) {
     m_proxy.forward("server", Address, m_port, serverPort);
   }
@@ -50,7 +50,7 @@
   unsigned m_port;
 };
 
-Awaitable<HttpResponse> answerAfterAWhile(HttpRequest, std::string) {
+Awaitable<HttpResponse> answerAfterDelay(HttpRequest, std::string) {
   co_await sleepFor(milliseconds(20));
   co_return jsonResponse(200, "{}");
 }
@@ -69,13 +69,13 @@
   reply ? ++answered : ++failed;
 }
 
-/** Keeps several connections open at once, silences them, and calls one time after another.
- * \returns calls that failed before one was answered */
-unsigned callsLostToSilence(bool toServer, bool toCaller) {
+/** Opens several connections, silences all of them, then makes one call after the other.
+ * \returns the number of calls that failed before one was answered */
+unsigned failedCallsAfterSilence(bool toServer, bool toCaller) {
   asio::io_context io;
-  HttpServer server(io, HttpLimits(), answerAfterAWhile);
+  HttpServer server(io, HttpLimits(), answerAfterDelay);
   const unsigned port = server.start(Address, 0).value();
-  SilentLink link(io, port);
+  SilenceableLink link(io, port);
   HttpClient client(io, Address, link.port(), Connections);
   unsigned answered = 0;
   unsigned failed = 0;
@@ -93,19 +93,19 @@
 
 }  // namespace
 
-// Each kept connection that had fallen silent cost one call: six calls in turn, and a target that answers was counted
-// as lost meanwhile.
-Test(silent_connections, a_silent_connection_costs_one_call_however_many_are_kept) {
-  cr_assert_eq(callsLostToSilence(true, false), 1, "silent to the server");
-  cr_assert_eq(callsLostToSilence(false, true), 1, "silent to the caller");
-  cr_assert_eq(callsLostToSilence(true, true), 1, "silent both ways");
+// Guards against each silent connection of the pool failing one call: six calls failed in turn, and a target that
+// answered was counted as lost meanwhile.
+Test(silent_connections, silent_connections_cost_one_call_however_many_are_open) {
+  cr_assert_eq(failedCallsAfterSilence(true, false), 1, "silent to the server");
+  cr_assert_eq(failedCallsAfterSilence(false, true), 1, "silent to the caller");
+  cr_assert_eq(failedCallsAfterSilence(true, true), 1, "silent both ways");
 }
 
 Test(silent_connections, calls_between_processes_go_on_over_a_new_connection) {
   asio::io_context io;
   RpcServer server(io);
   server.handle<schema::RunRequest>("run", answerRun);
-  SilentLink link(io, server.start(Address, 0).value());
+  SilenceableLink link(io, server.start(Address, 0).value());
   const auto client = std::make_shared<RpcClient>(io, Address, link.port());
   for (const auto& [toServer, toCaller] : {std::pair(true, false), std::pair(false, true), std::pair(true, true)}) {
     unsigned answered = 0;
--- a/test/soak/EventReader.h
+++ b/test/soak/EventReader.h
@@ -12,17 +12,18 @@
 namespace courseloom::test {
 
 /** \class EventReader
- * \brief Adds what is new in the event files of all back ends to a history.
+ * \brief Appends to a history the events that all back ends have written to their event files since the last read.
  */
 class EventReader {
  public:
   EventReader(const SoakCluster& cluster, RunHistory& history) : m_cluster(cluster), m_history(history) {}
+  /** Reads complete lines only; a line that is still being written is read by the next call. */
   void read();
 
  private:
   const SoakCluster& m_cluster;
   RunHistory& m_history;
-  std::map<unsigned, std::streamoff> m_offsets;  ///< read so far, by target
+  std::map<unsigned, std::streamoff> m_offsets;  ///< bytes read so far, by target
 };
 
 }  // namespace courseloom::test
--- a/test/soak/FaultProxy.cpp
+++ b/test/soak/FaultProxy.cpp
@@ -51,7 +51,7 @@
   Tcp::socket server;
   std::string from;
   std::string to;
-  LinkRule accepted;  ///< as it was when the connection came
+  LinkRule accepted;  ///< rule at the time when the connection was accepted
 
   bool isSilenced(const LinkRule& rule, bool toServer) const {
     return toServer ? rule.silencesToServer != accepted.silencesToServer
@@ -81,9 +81,9 @@
     auto [error, socket] = co_await acceptor.async_accept(asio::as_tuple(asio::use_awaitable));
     if (error) continue;
     auto connection = std::make_shared<Connection>(m_io, std::move(socket));
-    boost::system::error_code gone;
-    const Tcp::endpoint peer = connection->caller.remote_endpoint(gone);
-    connection->from = gone ? std::string() : m_callerOf(peer, listen);
+    boost::system::error_code peerError;
+    const Tcp::endpoint peer = connection->caller.remote_endpoint(peerError);
+    connection->from = peerError ? std::string() : m_callerOf(peer, listen);
     connection->to = server;
     connection->accepted = m_rules.get(connection->from, server);
     asio::co_spawn(m_io, serve(connection, target), asio::detached);
@@ -107,18 +107,18 @@
   Tcp::socket& source = toServer ? connection->caller : connection->server;
   Tcp::socket& sink = toServer ? connection->server : connection->caller;
   std::array<char, ChunkBytes> chunk{};
-  const auto ruled = [&] { return m_rules.get(connection->from, connection->to); };
+  const auto currentRule = [&] { return m_rules.get(connection->from, connection->to); };
   while (true) {
     const auto [readError, length] =
         co_await source.async_read_some(asio::buffer(chunk), asio::as_tuple(asio::use_awaitable));
-    LinkRule rule = ruled();
+    LinkRule rule = currentRule();
     while (toServer ? rule.silentToServer : rule.silentToCaller) {
       co_await sleepFor(SilencePoll);
-      rule = ruled();
+      rule = currentRule();
       if (rule.resets != connection->accepted.resets) break;
     }
     if (connection->isSilenced(rule, toServer)) {
-      // Neither bytes nor the end of the connection get through; the far end has to notice by itself.
+      // Neither bytes nor the end of the connection are forwarded; the peer has to detect the failure by itself.
       boost::system::error_code ignored;
       if (readError) source.close(ignored);
       if (readError) co_return;
--- a/test/soak/FaultProxy.h
+++ b/test/soak/FaultProxy.h
@@ -16,30 +16,31 @@
 namespace courseloom::test {
 
 /** \class LinkRule
- * \brief What the proxy does to the connections from one process to another.
+ * \brief Faults that the proxy applies to the connections from one process to another.
  */
 struct LinkRule {
-  Duration delay{};             ///< added to each chunk, both ways
-  bool silentToServer = false;  ///< bytes of the caller are held back
-  bool silentToCaller = false;  ///< bytes of the server are held back
-  std::uint64_t resets = 0;     ///< raised to reset all connections of the link
-  /** Raised to silence the connections that there are, one way, for good; new ones work. */
+  Duration delay{};             ///< added to each chunk, in both directions
+  bool silentToServer = false;  ///< the caller's bytes are held back until this is cleared
+  bool silentToCaller = false;  ///< the server's bytes are held back until this is cleared
+  std::uint64_t resets = 0;     ///< counter; incremented to reset all connections of the link
+  /** Counters; incremented to silence the present connections for good in one direction. New connections work. */
   std::uint64_t silencesToServer = 0;
   std::uint64_t silencesToCaller = 0;
 
-  /** Ends delay and silence. */
+  /** Ends delays and held-back bytes; the counters stay. */
   void heal() { *this = LinkRule{Duration(0), false, false, resets, silencesToServer, silencesToCaller}; }
 };
 
 /** \class LinkRules
- * \brief The rules by caller and server; safe from any thread. A name `*` stands for all.
+ * \brief Link rules by caller and server; thread-safe. The name `*` matches every process.
  */
 class LinkRules {
  public:
+  /** \returns the rule of a link, combined with the rules for `*` on either side. */
   LinkRule get(const std::string& from, const std::string& to) const;
   /** Changes the rule of one link. */
   void change(const std::string& from, const std::string& to, const std::function<void(LinkRule&)>& apply);
-  /** Ends all delays and silences. */
+  /** Ends delays and held-back bytes on all links. */
   void heal();
 
  private:
@@ -48,19 +49,21 @@
 };
 
 /** \class FaultProxy
- * \brief Forwards connections on loopback and harms them as the rules say.
+ * \brief Forwards connections on loopback and applies the faults of the link rules to them.
  *
- * Who calls is found by the socket's owner among the processes of the run, since all connect from one address.
+ * The caller is identified as the process of the run that owns the socket, since all processes connect from one
+ * address.
  */
 class FaultProxy {
  public:
   using Tcp = boost::asio::ip::tcp;
-  /** Names the process at the first end of a connection, whose other end is the second; empty if it is unknown. */
+  /** Returns the name of the process at the first end of a connection whose other end is the second; empty if it is
+   * unknown. */
   using CallerOf = std::function<std::string(const Tcp::endpoint&, const Tcp::endpoint&)>;
   FaultProxy(boost::asio::io_context& io, LinkRules& rules, CallerOf callerOf)
       : m_io(io), m_rules(rules), m_callerOf(std::move(callerOf)) {}
 
-  /** Listens on an address and forwards to a port of the same address. \param server name in the rules */
+  /** Listens on an address and forwards to a port of the same address. \param server its name in the rules */
   void forward(const std::string& server, const std::string& address, unsigned listenPort, unsigned serverPort);
 
  private:
--- a/test/soak/RunHistory.cpp
+++ b/test/soak/RunHistory.cpp
@@ -10,14 +10,16 @@
 
 namespace {
 
-/** Members of a gang may run apart for this long: orders on their way, faults, leases that have to lapse. */
-constexpr Duration GangPatience = milliseconds(20000);
-/** After this many crashes a task that causes them is started so many times more at most. */
-constexpr std::size_t CrashesAllowed = 3;
-constexpr std::ptrdiff_t StartsLeft = 2;
+/** Only a part of a gang may run for this long: orders may be in transit, faults may act, leases have to expire. */
+constexpr Duration PartialGangLimit = milliseconds(20000);
+/** After CrashesBeforeLimit crashes, a task that causes them may be started at most MaxStartsAfterCrashes more times.
+ */
+constexpr std::size_t CrashesBeforeLimit = 3;
+constexpr std::ptrdiff_t MaxStartsAfterCrashes = 2;
+/** A task under which this many back ends have crashed may be given up. */
 constexpr std::ptrdiff_t CrashesToGiveUp = 2;
 
-std::string numbered(const std::string& task, std::uint64_t run) { return task + " run " + std::to_string(run); }
+std::string describeRun(const std::string& task, std::uint64_t run) { return task + " run " + std::to_string(run); }
 
 }  // namespace
 
@@ -26,24 +28,24 @@
   std::int64_t at = 0;
   std::string kind;
   RunEvent event;
-  if (!(words >> at >> kind >> event.life)) return std::nullopt;
+  if (!(words >> at >> kind >> event.incarnation)) return std::nullopt;
   event.at = Time(Duration(at));
   if (kind == "over" || kind == "lapsed") {
-    event.kind = kind == "over" ? RunEventKind::LifeOver : RunEventKind::Lapsed;
+    event.kind = kind == "over" ? RunEventKind::IncarnationOver : RunEventKind::Lapsed;
     return event;
   }
   if (!(words >> event.task >> event.run >> event.how)) return std::nullopt;
   if (kind == "started") event.kind = RunEventKind::Started;
   if (kind == "ended") event.kind = RunEventKind::Ended;
-  if (kind == "noted") event.kind = RunEventKind::Noted;
+  if (kind == "noted") event.kind = RunEventKind::Acknowledged;
   return event;
 }
 
 void RunHistory::add(const RunEvent& event) {
-  if (event.kind == RunEventKind::LifeOver) {
+  if (event.kind == RunEventKind::IncarnationOver) {
     for (auto& [task, runs] : m_runs) {
       for (Run& run : runs) {
-        if (run.life != event.life || run.ended != Time::max()) continue;
+        if (run.incarnation != event.incarnation || run.ended != Time::max()) continue;
         run.ended = event.at;
         run.crashed = true;
       }
@@ -52,7 +54,9 @@
   }
   if (event.kind == RunEventKind::Lapsed) {
     for (auto& [task, runs] : m_runs) {
-      for (Run& run : runs) run.lapsed = run.lapsed || (run.life == event.life && run.ended <= event.at && !run.noted);
+      for (Run& run : runs)
+        run.lapsed =
+            run.lapsed || (run.incarnation == event.incarnation && run.ended <= event.at && !run.endAcknowledged);
     }
     return;
   }
@@ -60,12 +64,12 @@
   if (event.kind == RunEventKind::Started) {
     ++m_starts;
     m_tasks[jobOf(event.task)].insert(event.task);
-    runs.push_back({event.life, event.run, event.at, Time::max(), "", false, false, false});
+    runs.push_back({event.incarnation, event.run, event.at, Time::max(), "", false, false, false});
     return;
   }
   for (Run& run : runs) {
-    if (run.life != event.life || run.number != event.run) continue;
-    if (event.kind == RunEventKind::Noted) run.noted = !run.lapsed;
+    if (run.incarnation != event.incarnation || run.number != event.run) continue;
+    if (event.kind == RunEventKind::Acknowledged) run.endAcknowledged = !run.lapsed;
     if (event.kind == RunEventKind::Ended) {
       run.ended = event.at;
       run.how = event.how;
@@ -89,11 +93,11 @@
       if (&one == &other || other.began < one.began) continue;
       if (&other < &one && other.began == one.began) continue;
       if (other.began < one.ended) {
-        found.push_back("two at once: " + numbered(task, one.number) + " on " + one.life + " and run " +
-                        std::to_string(other.number) + " on " + other.life);
+        found.push_back("two at once: " + describeRun(task, one.number) + " on " + one.incarnation + " and run " +
+                        std::to_string(other.number) + " on " + other.incarnation);
       }
-      if (one.how == "done" && one.noted && other.began >= one.ended) {
-        found.push_back("started after done: " + numbered(task, other.number) + " on " + other.life);
+      if (one.how == "done" && one.endAcknowledged && other.began >= one.ended) {
+        found.push_back("started after done: " + describeRun(task, other.number) + " on " + other.incarnation);
       }
     }
   }
@@ -106,13 +110,13 @@
     if (run.crashed) crashes.push_back(run.ended);
   }
   std::sort(crashes.begin(), crashes.end());
-  if (crashes.size() < CrashesAllowed) return;
-  const Time third = crashes[CrashesAllowed - 1];
+  if (crashes.size() < CrashesBeforeLimit) return;
+  const Time third = crashes[CrashesBeforeLimit - 1];
   const auto starts = std::count_if(runs.begin(), runs.end(), [third](const Run& run) { return run.began > third; });
-  if (starts > StartsLeft) found.push_back("started three times more after three crashes: " + task);
+  if (starts > MaxStartsAfterCrashes) found.push_back("started three times more after three crashes: " + task);
 }
 
-/** The platform's rule: a task under which two back ends have crashed may be given up. */
+/** \returns whether the platform may give up a task of the job: two back ends have crashed under it. */
 bool RunHistory::mayBeGivenUp(const std::string& job) const {
   const auto tasks = m_tasks.find(job);
   if (tasks == m_tasks.end()) return false;
@@ -122,12 +126,12 @@
   });
 }
 
-/** A run of a gang that some members began and others did not has to end. */
+/** A run of a gang that not all members have started has to end within PartialGangLimit. */
 void RunHistory::checkGang(const ExpectedJob& job, Time now, std::vector<std::string>& found) const {
   struct Members {
     unsigned began = 0;
     Time first = Time::max();
-    Time last{};  ///< end of the last member that runs
+    Time last{};  ///< end of the member that runs last, or the present time
   };
   std::map<std::uint64_t, Members> byRun;
   for (const std::string& task : m_tasks.at(job.id)) {
@@ -139,28 +143,30 @@
     }
   }
   for (const auto& [number, members] : byRun) {
-    if (members.began >= job.tasks || members.last - members.first < GangPatience) continue;
-    found.push_back("part of a gang: " + numbered(job.id, number) + " has " + std::to_string(members.began) + " of " +
-                    std::to_string(job.tasks) + " members");
+    if (members.began >= job.tasks || members.last - members.first < PartialGangLimit) continue;
+    found.push_back("part of a gang: " + describeRun(job.id, number) + " has " + std::to_string(members.began) +
+                    " of " + std::to_string(job.tasks) + " members");
   }
 }
 
-void RunHistory::checkJob(const ExpectedJob& job, bool calm, std::vector<std::string>& found) const {
+void RunHistory::checkJob(const ExpectedJob& job, bool healed, std::vector<std::string>& found) const {
   const bool ran = m_tasks.count(job.id) > 0;
   if (ran && !job.accepted && !job.inDoubt) found.push_back("ran although refused: " + job.id);
-  // One member's end counts for its whole gang.
+  // The end of one member counts for its whole gang.
   const unsigned enough = job.gang ? 1 : job.tasks;
-  if (job.fate == JobFate::Completed && doneTasks(job.id) < enough) {
+  if (job.outcome == JobOutcome::Completed && doneTasks(job.id) < enough) {
     found.push_back("shown as completed, " + std::to_string(doneTasks(job.id)) + " of " + std::to_string(job.tasks) +
                     " tasks done: " + job.id);
   }
   const bool mayFail = job.mayFail || mayBeGivenUp(job.id);
-  if (job.fate == JobFate::Failed && !mayFail) found.push_back("shown as failed without cause: " + job.id);
-  if (job.fate == JobFate::Cancelled && job.cancelSent == Time{}) found.push_back("cancelled by nobody: " + job.id);
-  if (calm && job.accepted && job.fate == JobFate::Open) found.push_back("accepted and never ended: " + job.id);
+  if (job.outcome == JobOutcome::Failed && !mayFail) found.push_back("shown as failed without cause: " + job.id);
+  if (job.outcome == JobOutcome::Cancelled && job.cancelSent == Time{})
+    found.push_back("cancelled by nobody: " + job.id);
+  if (healed && job.accepted && job.outcome == JobOutcome::Open) found.push_back("accepted and never ended: " + job.id);
 }
 
-std::vector<std::string> RunHistory::check(const std::map<std::string, ExpectedJob>& jobs, Time now, bool calm) const {
+std::vector<std::string> RunHistory::check(const std::map<std::string, ExpectedJob>& jobs, Time now,
+                                           bool healed) const {
   std::vector<std::string> found;
   for (const auto& [task, runs] : m_runs) {
     checkTask(task, runs, found);
@@ -168,10 +174,10 @@
     if (owner != jobs.end() && owner->second.crashes) checkCrashes(task, runs, found);
     if (jobs.count(jobOf(task)) == 0) found.push_back("nobody asked for it: " + task);
     const bool runsOn = std::any_of(runs.begin(), runs.end(), [](const Run& run) { return run.ended == Time::max(); });
-    if (calm && runsOn) found.push_back("runs on after all has ended: " + task);
+    if (healed && runsOn) found.push_back("runs on after all has ended: " + task);
   }
   for (const auto& [id, job] : jobs) {
-    checkJob(job, calm, found);
+    checkJob(job, healed, found);
     if (job.gang && m_tasks.count(id) > 0) checkGang(job, now, found);
   }
   return found;
--- a/test/soak/SoakClients.cpp
+++ b/test/soak/SoakClients.cpp
@@ -20,15 +20,15 @@
 namespace {
 
 constexpr Duration CallLimit = milliseconds(6000);
-/** An answer that does not come within this is held, whatever becomes of it. */
+/** An answer that takes longer than this is a violation, whatever its status. */
 constexpr Duration AnswerDue = milliseconds(5000);
-/** A connection that ends this soon after the request was sent may have been closed before it arrived. */
-constexpr Duration CloseRace = milliseconds(250);
+/** A connection that ends within this time after a request was sent may have been closed before the request arrived. */
+constexpr Duration CloseRaceWindow = milliseconds(250);
 constexpr Duration RevokeLimit = milliseconds(5000);
 constexpr unsigned Queues = 3;
-/** Of the jobs of a run that has any: one in so many crashes its back ends, after at most so long. */
-constexpr unsigned OneOfCrashing = 25;
-constexpr unsigned MostCrashMs = 200;
+/** In a run with crashing jobs, one job in CrashingJobInterval crashes its back ends, after at most MaxCrashMs. */
+constexpr unsigned CrashingJobInterval = 25;
+constexpr unsigned MaxCrashMs = 200;
 constexpr unsigned MaxTasks = 4;
 constexpr std::uint64_t MaxBody = 1ULL << 20U;
 const char* const StableKey = "key-stable";
@@ -58,15 +58,15 @@
   return found != m_last.end() && found->second >= time;
 }
 
-/** One caller with a connection of its own to one entry at a time. */
+/** One caller with its own connection to one entry at a time. */
 struct SoakClients::Caller {
   Caller(asio::io_context& io, std::uint64_t seed) : random(seed), timerIo(io) {}
   std::mt19937_64 random;
   asio::io_context& timerIo;
   unsigned entry = 1;
   std::unique_ptr<HttpClient> client;
-  // A call under way keeps what it uses, also when another entry is taken.
-  void moveOn(const SoakCluster& cluster) {
+  /** Connects to an entry drawn at random. A call in progress keeps the client that it uses. */
+  void reconnect(const SoakCluster& cluster) {
     entry = pick(random, 1, cluster.size().entries);
     const Endpoint endpoint = splitEndpoint(cluster.clientAddress(entry));
     client = std::make_unique<HttpClient>(timerIo, endpoint.address, endpoint.port, 1);
@@ -88,7 +88,7 @@
   asio::co_spawn(m_io, revokedKeyLoop(m_random()), asio::detached);
   for (unsigned i = 0; i < m_callers; ++i) {
     auto caller = std::make_shared<Caller>(m_io, m_random());
-    caller->moveOn(m_cluster);
+    caller->reconnect(m_cluster);
     asio::co_spawn(m_io, callerLoop(caller), asio::detached);
   }
   m_thread = std::thread([this] { m_io.run(); });
@@ -101,8 +101,9 @@
 
 bool SoakClients::allEnded() const {
   const std::lock_guard lock(m_mutex);
-  return std::all_of(m_jobs.begin(), m_jobs.end(),
-                     [](const auto& entry) { return !entry.second.accepted || entry.second.fate != JobFate::Open; });
+  return std::all_of(m_jobs.begin(), m_jobs.end(), [](const auto& entry) {
+    return !entry.second.accepted || entry.second.outcome != JobOutcome::Open;
+  });
 }
 
 std::map<std::string, ExpectedJob> SoakClients::jobs() const {
@@ -142,7 +143,7 @@
   const Time sentAt = BootClock::now();
   Result<HttpResponse> response = co_await caller->client->exchange("call", std::move(request), CallLimit, MaxBody);
   const Duration took = BootClock::now() - sentAt;
-  // A pause or kill that began earlier and lasts is noted again when it ends.
+  // A pause or kill that began earlier and still lasts is recorded again when it ends.
   const bool disturbed = m_disturbances.since(entry, sentAt - CallLimit);
   if (response) {
     if (took > AnswerDue && !disturbed) violation(entry + " held " + method + " " + path + " for too long");
@@ -151,18 +152,18 @@
     co_return Answer{response->result_int(), response->body()};
   }
   const Failure failure = extractFailure(response);
-  if (failure.code != FailureCode::TargetUnreachable && took > CloseRace && !disturbed) {
+  if (failure.code != FailureCode::TargetUnreachable && took > CloseRaceWindow && !disturbed) {
     violation(entry + " left " + method + " " + path + " without its answer after " +
               std::to_string(took.count() / 1000) + " ms: " + failure.text());
   }
-  caller->moveOn(m_cluster);
+  caller->reconnect(m_cluster);
   const std::lock_guard lock(m_mutex);
   ++m_answers[0];
   co_return Answer{};
 }
 
-Awaitable<SoakClients::Answer> SoakClients::ask(unsigned control, std::string method, std::string path,
-                                                std::string body) {
+Awaitable<SoakClients::Answer> SoakClients::callOperator(unsigned control, std::string method, std::string path,
+                                                         std::string body) {
   const Endpoint endpoint = splitEndpoint(m_cluster.operatorAddress(control));
   HttpClient client(m_io, endpoint.address, endpoint.port, 0);
   HttpRequest request(http::string_to_verb(method), path, 11);
@@ -197,8 +198,8 @@
   std::string spec = std::to_string(pick(caller->random, 50, 1500));
   if (job.mayFail) spec = "fail";
   if (endless) spec = "forever";
-  job.crashes = m_crashing && pick(caller->random, 1, OneOfCrashing) == 1;
-  if (job.crashes) spec = "crash " + std::to_string(pick(caller->random, 5, MostCrashMs));
+  job.crashes = m_crashing && pick(caller->random, 1, CrashingJobInterval) == 1;
+  if (job.crashes) spec = "crash " + std::to_string(pick(caller->random, 5, MaxCrashMs));
   job.mayFail = job.mayFail || job.crashes;
   const json::object step{{"count", job.tasks}, {"cpu", 1000},        {"mem_mb", 100},        {"gpu", 1},
                           {"gang", job.gang},   {"estimate_ms", 800}, {"checkpointing", true}};
@@ -215,14 +216,14 @@
   co_await follow(caller, path, id);
 }
 
-/** Sends until it is taken, or refused as often as a caller tries. \returns whether it was taken */
+/** Submits a job until it is accepted, or until all tries were clearly refused. \returns whether it was accepted */
 Awaitable<bool> SoakClients::submit(std::shared_ptr<Caller> caller, const std::string& path, const std::string& body,
                                     std::string id) {
   constexpr unsigned Tries = 8;
   bool inDoubt = false;
   for (unsigned i = 0; i < Tries || inDoubt; ++i) {
     {
-      // Noted before it leaves: it may run before its answer comes.
+      // Recorded before the request is sent: the job may run before the answer arrives.
       const std::lock_guard lock(m_mutex);
       m_jobs[id].inDoubt = true;
     }
@@ -260,24 +261,25 @@
   m_jobs[id].cancelAcked = BootClock::now();
 }
 
-void SoakClients::takeState(const std::string& id, const Answer& answer, Time sentAt) {
+void SoakClients::checkState(const std::string& id, const Answer& answer, Time sentAt) {
   if (answer.status == 410) return violation("an accepted job is unknown: " + id);
   if (answer.status != 200) return;
   boost::system::error_code error;
   const json::value body = json::parse(answer.body, error);
   if (error || !body.is_object()) return violation("a state that cannot be read: " + answer.body);
   const std::string state(body.as_object().at("state").as_string());
-  JobFate fate = JobFate::Open;
-  if (state == "completed") fate = JobFate::Completed;
-  if (state == "failed") fate = JobFate::Failed;
-  if (state == "cancelled") fate = JobFate::Cancelled;
+  JobOutcome outcome = JobOutcome::Open;
+  if (state == "completed") outcome = JobOutcome::Completed;
+  if (state == "failed") outcome = JobOutcome::Failed;
+  if (state == "cancelled") outcome = JobOutcome::Cancelled;
   std::string changed;
   {
     const std::lock_guard lock(m_mutex);
     ExpectedJob& job = m_jobs[id];
-    if (job.fate != JobFate::Open && fate != job.fate && sentAt > job.fateSeen) changed = "its end changed: " + id;
-    if (job.fate == JobFate::Open && fate != JobFate::Open) job.fateSeen = BootClock::now();
-    if (fate != JobFate::Open) job.fate = fate;
+    if (job.outcome != JobOutcome::Open && outcome != job.outcome && sentAt > job.outcomeSeen)
+      changed = "its end changed: " + id;
+    if (job.outcome == JobOutcome::Open && outcome != JobOutcome::Open) job.outcomeSeen = BootClock::now();
+    if (outcome != JobOutcome::Open) job.outcome = outcome;
   }
   if (!changed.empty()) violation(changed + " is now " + state);
 }
@@ -285,15 +287,15 @@
 Awaitable<void> SoakClients::follow(std::shared_ptr<Caller> caller, std::string path, std::string id) {
   for (bool ended = false; !ended;) {
     const Time sentAt = BootClock::now();
-    takeState(id, co_await call(caller, "GET", path, "", StableKey), sentAt);
+    checkState(id, co_await call(caller, "GET", path, "", StableKey), sentAt);
     {
       const std::lock_guard lock(m_mutex);
-      ended = m_jobs[id].fate != JobFate::Open;
+      ended = m_jobs[id].outcome != JobOutcome::Open;
     }
     co_await sleepFor(milliseconds(pick(caller->random, 100, 600)));
   }
   const Time sentAt = BootClock::now();
-  takeState(id, co_await call(caller, "GET", path, "", StableKey), sentAt);
+  checkState(id, co_await call(caller, "GET", path, "", StableKey), sentAt);
 }
 
 // ---- operators
@@ -341,9 +343,9 @@
       if (m_finishing) co_return;
       m_versions[version].body = body;
     }
-    // Sent again as it was, to any replica, until it is taken.
+    // The same bytes are sent again, to any replica, until one accepts them.
     for (Answer answer; answer.status != 200;) {
-      answer = co_await ask(pick(random, 1, m_cluster.size().control), "POST", "/-/Config.Put", body);
+      answer = co_await callOperator(pick(random, 1, m_cluster.size().control), "POST", "/-/Config.Put", body);
       if (answer.status >= 400 && answer.status < 500) {
         violation("configuration " + std::to_string(version) + " refused with " + std::to_string(answer.status));
         co_return;
@@ -364,7 +366,7 @@
       const std::lock_guard lock(m_mutex);
       atLeast = m_highestAcknowledged;
     }
-    const Answer answer = co_await ask(pick(random, 1, m_cluster.size().control), "GET", "/-/Config.Get", "");
+    const Answer answer = co_await callOperator(pick(random, 1, m_cluster.size().control), "GET", "/-/Config.Get", "");
     if (answer.status != 200) continue;
     boost::system::error_code error;
     const json::value body = json::parse(answer.body, error);
@@ -380,10 +382,10 @@
   }
 }
 
-/** Calls with keys that were taken away long enough ago. */
+/** Calls with keys that were revoked more than RevokeLimit ago. */
 Awaitable<void> SoakClients::revokedKeyLoop(std::uint64_t seed) {
   auto caller = std::make_shared<Caller>(m_io, seed);
-  caller->moveOn(m_cluster);
+  caller->reconnect(m_cluster);
   while (true) {
     co_await sleepFor(milliseconds(pick(caller->random, 50, 300)));
     std::vector<unsigned> revoked;
--- a/test/soak/SoakClients.h
+++ b/test/soak/SoakClients.h
@@ -17,10 +17,11 @@
 namespace courseloom::test {
 
 /** \class Disturbances
- * \brief When each process was last stopped, paused or started by the run; safe from any thread.
+ * \brief Records when the run last stopped, paused or started each process; thread-safe.
  */
 class Disturbances {
  public:
+  /** Records a disturbance of a process at the present time. */
   void note(const std::string& process);
   /** \returns whether a process was disturbed at or after a time. */
   bool since(const std::string& process, Time time) const;
@@ -31,30 +32,30 @@
 };
 
 /** \class SoakClients
- * \brief Callers and operators of a run, on a thread of their own; they check each answer against what was promised.
+ * \brief Simulated callers and operators of a run, on their own thread. They check each answer against the guarantees.
  *
- * Callers keep their connections open for as long as the process at the other end keeps them. Checked at once: no call
- * is left without its whole answer by a process that nobody killed or paused; an accepted job is never unknown; its end
- * never changes; a configuration read is never older than what was acknowledged, and is what was sent; a key that was
- * taken away stops working, and one that stands is never refused.
+ * Callers keep their connections open for as long as the entry does. Checked at each answer: a process that was not
+ * killed or paused answers each call completely; an accepted job is never unknown; the outcome of a job never changes;
+ * a configuration that is read is never older than the newest acknowledged one, and equals what was sent; a revoked key
+ * stops working, and a valid one is never refused.
  */
 class SoakClients {
  public:
-  /** \param crashing some jobs have tasks that crash each back end that starts them */
+  /** \param crashing whether some jobs have tasks that crash every back end that starts them */
   SoakClients(SoakCluster& cluster, const Disturbances& disturbances, std::uint64_t seed, unsigned callers,
               bool crashing);
   ~SoakClients();
   SoakClients(const SoakClients&) = delete;
   SoakClients& operator=(const SoakClients&) = delete;
 
-  /** Puts the first configuration and begins. */
+  /** Starts the callers and operators; the first operator sends the first configuration. */
   void start();
-  /** No new jobs from now on; what was accepted is still followed. */
+  /** Stops submitting jobs; the accepted ones are still followed to their ends. */
   void finish();
   /** \returns whether every accepted job has been seen to end. */
   bool allEnded() const;
   std::map<std::string, ExpectedJob> jobs() const;
-  /** \returns what broke so far. */
+  /** \returns a description of each violation so far. */
   std::vector<std::string> violations() const;
   std::string summary() const;
 
@@ -66,7 +67,7 @@
     Time replacedAt{};  ///< when a higher version was acknowledged
   };
   struct Answer {
-    unsigned status = 0;  ///< 0 is no answer
+    unsigned status = 0;  ///< HTTP status; 0: no answer
     std::string body;
   };
 
@@ -81,10 +82,10 @@
   Awaitable<void> operatorLoop(std::uint64_t seed);
   Awaitable<void> readerLoop(std::uint64_t seed);
   Awaitable<void> revokedKeyLoop(std::uint64_t seed);
-  Awaitable<Answer> ask(unsigned control, std::string method, std::string path, std::string body);
+  Awaitable<Answer> callOperator(unsigned control, std::string method, std::string path, std::string body);
   std::string configuration(unsigned version) const;
   void acknowledged(unsigned version);
-  void takeState(const std::string& id, const Answer& answer, Time sentAt);
+  void checkState(const std::string& id, const Answer& answer, Time sentAt);
   void violation(const std::string& text);
 
   SoakCluster& m_cluster;
@@ -94,12 +95,12 @@
   bool m_crashing;
   boost::asio::io_context m_io;
   std::thread m_thread;
-  mutable std::mutex m_mutex;  ///< guards all that follows
+  mutable std::mutex m_mutex;  ///< guards all members below
   std::map<std::string, ExpectedJob> m_jobs;
   std::map<unsigned, SentVersion> m_versions;
   unsigned m_highestAcknowledged = 0;
   std::vector<std::string> m_violations;
-  std::map<unsigned, unsigned> m_answers;  ///< by status
+  std::map<unsigned, unsigned> m_answers;  ///< number of answers by HTTP status; 0: no answer
   bool m_finishing = false;
 };
 
--- a/test/soak/SoakCluster.cpp
+++ b/test/soak/SoakCluster.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 const std::string BuildFolder = COURSELOOM_BUILD_DIR;
-/** A target's clock may run this much slow, percent. */
+/** Lowest rate of a target's clock, in percent of real time. */
 constexpr unsigned SlowestClock = 98;
 constexpr PortRange Ports{21000, 400, 10};
 
@@ -28,7 +28,7 @@
     : m_size(size),
       m_ports(Ports),
       m_base(m_ports.base()),
-      // Addresses follow from this process, so that runs beside each other do not meet.
+      // The addresses depend on the process id, so that concurrent runs do not share them.
       m_net(10 + static_cast<unsigned>(::getpid()) / 400 % 200),
       m_proxy(m_io, m_rules, [this](const auto& caller, const auto& proxy) { return callerOf(caller, proxy); }) {
   std::string pattern = "/tmp/courseloom-soak-XXXXXX";
@@ -108,7 +108,7 @@
 
 void SoakCluster::start(const std::string& name) {
   auto process = std::make_unique<Process>(m_commands.at(name), m_folder + "/" + name + ".log");
-  process->tellIfNotReady();
+  process->printLogIfNotReady();
   const std::lock_guard lock(m_mutex);
   m_pids[name] = process->pid();
   m_processes[name] = std::move(process);
@@ -124,7 +124,7 @@
 
 bool SoakCluster::alive(const std::string& name) const { return m_processes.at(name)->pid() > 0; }
 
-std::vector<std::string> SoakCluster::ownEnds() {
+std::vector<std::string> SoakCluster::unexpectedExits() {
   std::vector<std::string> found;
   for (const auto& [name, process] : m_processes) {
     if (process->pid() <= 0) continue;
@@ -139,7 +139,7 @@
 
 void SoakCluster::wipe(const std::string& name) {
   std::filesystem::remove_all(m_folder + "/" + name);
-  // A disk that comes back empty is no founder's.
+  // A replica that restarts with an empty disk must not bootstrap the cluster again.
   const std::string file = m_folder + "/" + name + ".yaml";
   std::ifstream before(file);
   std::string text((std::istreambuf_iterator<char>(before)), std::istreambuf_iterator<char>());
@@ -151,7 +151,7 @@
 
 void SoakCluster::tearTail(const std::string& name, std::uint64_t seed) {
   std::filesystem::path newest;
-  std::error_code none;  // a disk that was lost may not be there again yet
+  std::error_code none;  // a lost disk may not have been created again yet
   for (const auto& entry : std::filesystem::directory_iterator(m_folder + "/" + name, none)) {
     const bool isLog = entry.is_regular_file() && entry.path().filename().string().find("log") != std::string::npos;
     if (isLog && (newest.empty() || entry.path() > newest)) newest = entry.path();
--- a/test/soak/SoakCluster.h
+++ b/test/soak/SoakCluster.h
@@ -16,7 +16,7 @@
 namespace courseloom::test {
 
 /** \class SoakSize
- * \brief How many processes a run has.
+ * \brief Number of processes of each kind in a run; one agent and one back end for each target.
  */
 struct SoakSize {
   unsigned control = 3;
@@ -25,10 +25,11 @@
 };
 
 /** \class SoakCluster
- * \brief A whole courseloom on loopback whose connections pass a FaultProxy; processes by name: `control-1`, `entry-1`,
- * `agent-1`, `runner-1`.
+ * \brief A complete deployment on loopback whose connections pass through a FaultProxy. Its processes are named
+ * `control-1`, `entry-1`, `agent-1`, `runner-1` and so on.
  *
- * Each instance has an address of its own. What others connect to is the proxy; the process listens on another port.
+ * Each instance has its own address. Other processes connect to the proxy's port; the process itself listens on
+ * another one.
  */
 class SoakCluster {
  public:
@@ -37,18 +38,20 @@
   SoakCluster(const SoakCluster&) = delete;
   SoakCluster& operator=(const SoakCluster&) = delete;
 
+  /** Starts a process, or starts it again. */
   void start(const std::string& name);
-  /** SIGKILL, and waits for the end. */
+  /** Sends SIGKILL and waits for the process to exit. */
   void kill(const std::string& name);
   bool alive(const std::string& name) const;
   Process& process(const std::string& name) { return *m_processes.at(name); }
-  /** \returns processes that ended although nobody stopped them, with their exit codes, since the last call. */
-  std::vector<std::string> ownEnds();
-  /** Says that an end of a process is wanted. */
-  void expectEnd(const std::string& name) { m_expected[name] = true; }
-  /** Removes a replica's disk; its process must be dead. */
+  /** \returns a description of each process, with its exit code, that has exited since the last call although it was
+   * not asked to. */
+  std::vector<std::string> unexpectedExits();
+  /** Marks the next exit of a process as expected. */
+  void expectExit(const std::string& name) { m_expected[name] = true; }
+  /** Removes a replica's data folder; its process must not be running. */
   void wipe(const std::string& name);
-  /** Adds bytes that no writer finished to the newest file of a replica's disk; its process must be dead. */
+  /** Appends a torn record of 1 to 64 random bytes to a replica's newest log file; its process must not be running. */
   void tearTail(const std::string& name, std::uint64_t seed);
 
   LinkRules& links() { return m_rules; }
@@ -58,11 +61,11 @@
   std::string runnerAddress(unsigned target) const { return at(AgentHost + target, RunnerPort); }
   std::string eventFile(unsigned target) const { return m_folder + "/events-" + std::to_string(target); }
   const std::string& folder() const { return m_folder; }
-  /** Keeps the folder with logs and settings when the run is over. */
+  /** Keeps the folder with logs and settings after the run. */
   void keep() { m_keep = true; }
 
  private:
-  // Ports of each instance, counted from the base.
+  // Ports of each instance, relative to the base port.
   static constexpr unsigned RpcProxyPort = 0;
   static constexpr unsigned RpcPort = 1;
   static constexpr unsigned ControlPort = 2;
@@ -71,7 +74,7 @@
   static constexpr unsigned RunnerPort = 5;
   static constexpr unsigned RunnerProxyPort = 6;
   static constexpr unsigned HttpPort = 7;
-  // Last part of the addresses.
+  // Last byte of an instance's address, to which the number of the instance is added.
   static constexpr unsigned AgentHost = 20;
   static constexpr unsigned EntryHost = 10;
 
@@ -91,7 +94,7 @@
   LinkRules m_rules;
   FaultProxy m_proxy;
   std::thread m_proxyThread;
-  mutable std::mutex m_mutex;  ///< guards m_pids, which the proxy's thread reads
+  mutable std::mutex m_mutex;  ///< guards m_pids, which the proxy thread reads
   std::map<std::string, int> m_pids;
   std::map<std::string, std::vector<std::string>> m_commands;
   std::map<std::string, std::unique_ptr<Process>> m_processes;
--- a/test/soak/SoakFaults.cpp
+++ b/test/soak/SoakFaults.cpp
@@ -12,9 +12,10 @@
 
 namespace {
 
-/** Time after the last harm to the replicas until another disk may be lost: joining, catching up, promotion. */
-constexpr Duration DiskCalm = milliseconds(6000);
-/** A planned stop ends within this. */
+/** Time after the last fault of the replicas until another disk may be lost: a replica has to join, catch up and be
+ * promoted. */
+constexpr Duration DiskLossInterval = milliseconds(6000);
+/** A planned stop has to end within this time. */
 constexpr Duration StopLimit = milliseconds(10000);
 constexpr Duration StopPoll = milliseconds(50);
 
@@ -25,21 +26,21 @@
       m_disturbances(disturbances),
       m_random(seed),
       m_draw(draw),
-      m_next(m_began + milliseconds(1500)) {}
+      m_next(m_startedAt + milliseconds(1500)) {}
 
 void SoakFaults::note(const std::string& text) {
-  const auto ms = (BootClock::now() - m_began).count() / 1000;
+  const auto ms = (BootClock::now() - m_startedAt).count() / 1000;
   m_log.push_back(std::to_string(ms) + " ms: " + text);
 }
 
-void SoakFaults::later(Duration after, std::function<void()> action) {
-  m_later.emplace(BootClock::now() + after, std::move(action));
+void SoakFaults::schedule(Duration after, std::function<void()> action) {
+  m_delayed.emplace(BootClock::now() + after, std::move(action));
 }
 
 void SoakFaults::step() {
-  while (!m_later.empty() && m_later.begin()->first <= BootClock::now()) {
-    const std::function<void()> action = std::move(m_later.begin()->second);
-    m_later.erase(m_later.begin());
+  while (!m_delayed.empty() && m_delayed.begin()->first <= BootClock::now()) {
+    const std::function<void()> action = std::move(m_delayed.begin()->second);
+    m_delayed.erase(m_delayed.begin());
     action();
   }
   if (m_healing || BootClock::now() < m_next) return;
@@ -49,32 +50,32 @@
 
 void SoakFaults::begin() {
   static const std::vector<Kind> first{
-      {6, &SoakFaults::killOne},    {1, &SoakFaults::killAllControl}, {5, &SoakFaults::stopOne},
-      {1, &SoakFaults::stopInTurn}, {4, &SoakFaults::pauseOne},       {2, &SoakFaults::hangUpSeries},
-      {2, &SoakFaults::loseDisk},   {2, &SoakFaults::tearDisk},       {6, &SoakFaults::harmLink},
-      {2, &SoakFaults::resetLinks}, {4, &SoakFaults::harmTarget},     {2, &SoakFaults::leaveTarget}};
+      {6, &SoakFaults::killOne},       {1, &SoakFaults::killAllControl}, {5, &SoakFaults::stopOne},
+      {1, &SoakFaults::stopAllOfKind}, {4, &SoakFaults::pauseOne},       {2, &SoakFaults::sendHangUps},
+      {2, &SoakFaults::wipeDisk},      {2, &SoakFaults::tearDisk},       {6, &SoakFaults::disturbLink},
+      {2, &SoakFaults::resetLinks},    {4, &SoakFaults::disturbTarget},  {2, &SoakFaults::drainTarget}};
   static const std::vector<Kind> orders = [] {
     std::vector<Kind> more = first;
     more.push_back({3, &SoakFaults::refuseOrders});
-    more.push_back({3, &SoakFaults::lateOrders});
-    more.push_back({4, &SoakFaults::refuseAndLate});
+    more.push_back({3, &SoakFaults::delayOrders});
+    more.push_back({4, &SoakFaults::refuseAndDelayOrders});
     more.push_back({4, &SoakFaults::crashWithLateHeartbeats});
     return more;
   }();
-  static const std::vector<Kind> lives = [] {
+  static const std::vector<Kind> incarnations = [] {
     std::vector<Kind> more = orders;
-    more.push_back({6, &SoakFaults::beginAgain});
-    more.push_back({4, &SoakFaults::beginAgainUnderLateOrders});
+    more.push_back({6, &SoakFaults::restartUnderSameIdentity});
+    more.push_back({4, &SoakFaults::restartDuringDelayedOrders});
     return more;
   }();
   static const std::vector<Kind> silence = [] {
-    std::vector<Kind> more = lives;
+    std::vector<Kind> more = incarnations;
     more.push_back({6, &SoakFaults::silenceConnections});
     return more;
   }();
   static const std::map<FaultDraw, const std::vector<Kind>*> draws{{FaultDraw::First, &first},
                                                                    {FaultDraw::Orders, &orders},
-                                                                   {FaultDraw::Lives, &lives},
+                                                                   {FaultDraw::Incarnations, &incarnations},
                                                                    {FaultDraw::Silence, &silence},
                                                                    {FaultDraw::Crashes, &silence}};
   const std::vector<Kind>& kinds = *draws.at(m_draw);
@@ -93,8 +94,8 @@
   m_cluster.links().heal();
   if (m_draw == FaultDraw::First) return;
   for (unsigned target = 1; target <= m_cluster.size().targets; ++target) {
-    tellTarget(target, "/refuse?ms=0");
-    tellTarget(target, "/late?ms=0");
+    postToTarget(target, "/refuse?ms=0");
+    postToTarget(target, "/late?ms=0");
   }
 }
 
@@ -120,12 +121,12 @@
 
 void SoakFaults::kill(const std::string& name, Duration downFor, const std::function<void()>& whileDown) {
   if (m_states[name] == State::Down) return;
-  if (name.rfind("control", 0) == 0) m_controlHarmed = BootClock::now() + downFor;
+  if (name.rfind("control", 0) == 0) m_lastControlFault = BootClock::now() + downFor;
   m_disturbances.note(name);
   m_states[name] = State::Down;
   m_cluster.kill(name);
   if (whileDown) whileDown();
-  later(downFor, [this, name] { restart(name); });
+  schedule(downFor, [this, name] { restart(name); });
 }
 
 void SoakFaults::killOne() {
@@ -144,12 +145,12 @@
   if (m_states[name] != State::Running) return;
   note("stop " + name);
   m_states[name] = State::Stopping;
-  if (name.rfind("control", 0) == 0) m_controlHarmed = BootClock::now();
-  m_cluster.expectEnd(name);
+  if (name.rfind("control", 0) == 0) m_lastControlFault = BootClock::now();
+  m_cluster.expectExit(name);
   m_cluster.process(name).signal(SIGTERM);
-  // Some are killed on their way out.
+  // One in five is killed during its planned stop.
   if (pick(1, 5) == 1) {
-    return later(pickMs(50, 800), [this, name] {
+    return schedule(pickMs(50, 800), [this, name] {
       if (m_states[name] == State::Stopping) kill(name, milliseconds(200));
     });
   }
@@ -160,24 +161,25 @@
   if (m_states[name] != State::Stopping) return;
   const int code = m_cluster.alive(name) ? m_cluster.process(name).wait(milliseconds(1)) : 0;
   if (code < 0) {
-    if (BootClock::now() < begun + StopLimit) return later(StopPoll, [this, name, begun] { awaitStop(name, begun); });
+    if (BootClock::now() < begun + StopLimit)
+      return schedule(StopPoll, [this, name, begun] { awaitStop(name, begun); });
     m_violations.push_back(name + " does not end after SIGTERM");
     return kill(name, milliseconds(100));
   }
   if (code != 0) m_violations.push_back(name + " ended a planned stop with code " + std::to_string(code));
   m_states[name] = State::Down;
-  later(pickMs(0, 2000), [this, name] { restart(name); });
+  schedule(pickMs(0, 2000), [this, name] { restart(name); });
 }
 
 void SoakFaults::stopOne() { stop(anyDaemon()); }
 
-void SoakFaults::stopInTurn() {
+void SoakFaults::stopAllOfKind() {
   static const std::vector<std::string> kinds{"control", "entry", "agent"};
   const std::string& kind = kinds[pick(0, 2)];
   note("stop all of " + kind + " in turn");
   const Duration gap = pickMs(100, 1500);
   for (unsigned i = 1; i <= countOf(kind); ++i) {
-    later(gap * i, [this, name = kind + "-" + std::to_string(i)] {
+    schedule(gap * i, [this, name = kind + "-" + std::to_string(i)] {
       if (!m_healing) stop(name);
     });
   }
@@ -190,9 +192,9 @@
   note("pause " + name + " for " + std::to_string(length.count() / 1000) + " ms");
   m_states[name] = State::Paused;
   m_disturbances.note(name);
-  if (name.rfind("control", 0) == 0) m_controlHarmed = BootClock::now() + length;
+  if (name.rfind("control", 0) == 0) m_lastControlFault = BootClock::now() + length;
   m_cluster.process(name).signal(SIGSTOP);
-  later(length, [this, name] {
+  schedule(length, [this, name] {
     if (m_states[name] != State::Paused) return;
     m_cluster.process(name).signal(SIGCONT);
     m_states[name] = State::Running;
@@ -200,12 +202,12 @@
   });
 }
 
-void SoakFaults::hangUpSeries() {
+void SoakFaults::sendHangUps() {
   const std::string name = anyDaemon();
   if (m_states[name] != State::Running) return;
   note("hang up " + name);
   for (unsigned i = 0; i < pick(1, 5); ++i) {
-    later(milliseconds(30) * i, [this, name] {
+    schedule(milliseconds(30) * i, [this, name] {
       if (m_states[name] == State::Running) m_cluster.process(name).signal(SIGHUP);
     });
   }
@@ -214,7 +216,7 @@
 // ---- disks
 
 bool SoakFaults::mayLoseDisk() const {
-  if (BootClock::now() < m_controlHarmed + DiskCalm) return false;
+  if (BootClock::now() < m_lastControlFault + DiskLossInterval) return false;
   for (unsigned i = 1; i <= m_cluster.size().control; ++i) {
     const auto state = m_states.find("control-" + std::to_string(i));
     if (state != m_states.end() && state->second != State::Running) return false;
@@ -222,7 +224,7 @@
   return true;
 }
 
-void SoakFaults::loseDisk() {
+void SoakFaults::wipeDisk() {
   if (!mayLoseDisk()) return;
   const std::string name = anyOf("control");
   note("lose the disk of " + name);
@@ -238,12 +240,12 @@
 
 // ---- links
 
-void SoakFaults::harmLink() {
+void SoakFaults::disturbLink() {
   const bool toTarget = pick(1, 3) == 1;
   const std::string to = toTarget ? anyOf("runner") : anyOf("control");
   const std::string from = toTarget || pick(1, 3) == 1 ? "*" : anyDaemon();
   const Duration length = pickMs(200, 7000);
-  if (!toTarget) m_controlHarmed = std::max(m_controlHarmed, BootClock::now() + length);
+  if (!toTarget) m_lastControlFault = std::max(m_lastControlFault, BootClock::now() + length);
   const unsigned how = pick(1, 4);
   note("link from " + from + " to " + to + " harmed, way " + std::to_string(how));
   const Duration delay = pickMs(5, 300);
@@ -252,7 +254,7 @@
     if (how == 2 || how == 4) rule.silentToServer = true;
     if (how == 3 || how == 4) rule.silentToCaller = true;
   });
-  later(length, [this, from, to] { m_cluster.links().change(from, to, [](LinkRule& rule) { rule.heal(); }); });
+  schedule(length, [this, from, to] { m_cluster.links().change(from, to, [](LinkRule& rule) { rule.heal(); }); });
 }
 
 void SoakFaults::resetLinks() {
@@ -261,13 +263,13 @@
   m_cluster.links().change("*", to, [](LinkRule& rule) { ++rule.resets; });
 }
 
-/** No reset tells the ends, and new connections work: only a time-out or a probe of their own shows it. */
+/** The ends get no reset, and new connections work: only a time-out or a probe of their own detects the failure. */
 void SoakFaults::silenceConnections() {
   const std::string to = pick(1, 3) == 1 ? anyOf("runner") : anyOf("control");
   const std::string from = pick(1, 2) == 1 ? "*" : anyDaemon();
   const unsigned how = pick(1, 3);
   note("connections from " + from + " to " + to + " fall silent for good, way " + std::to_string(how));
-  if (to.rfind("control", 0) == 0) m_controlHarmed = std::max(m_controlHarmed, BootClock::now());
+  if (to.rfind("control", 0) == 0) m_lastControlFault = std::max(m_lastControlFault, BootClock::now());
   m_cluster.links().change(from, to, [how](LinkRule& rule) {
     if (how != 2) ++rule.silencesToServer;
     if (how != 1) ++rule.silencesToCaller;
@@ -276,58 +278,59 @@
 
 // ---- targets
 
-void SoakFaults::tellTarget(unsigned target, const std::string& path) {
+void SoakFaults::postToTarget(unsigned target, const std::string& path) {
   send({m_cluster.runnerAddress(target), "POST", path, "", {}, milliseconds(500)});
 }
 
-void SoakFaults::harmTarget() {
+void SoakFaults::disturbTarget() {
   const unsigned target = pick(1, m_cluster.size().targets);
   if (m_states["runner-" + std::to_string(target)] != State::Running) return;
   if (pick(1, 2) == 1) {
     note("target " + std::to_string(target) + " crashes");
-    return tellTarget(target, "/crash");
+    return postToTarget(target, "/crash");
   }
   const unsigned length = pick(100, 4000);
   note("target " + std::to_string(target) + " is silent for " + std::to_string(length) + " ms");
-  tellTarget(target, "/mute?ms=" + std::to_string(length));
+  postToTarget(target, "/mute?ms=" + std::to_string(length));
 }
 
-void SoakFaults::leaveTarget() {
+void SoakFaults::drainTarget() {
   const unsigned target = pick(1, m_cluster.size().targets);
   if (m_states["runner-" + std::to_string(target)] != State::Running) return;
   note("target " + std::to_string(target) + " leaves and comes back");
-  tellTarget(target, "/drain");
-  later(pickMs(500, 3000), [this, target] { tellTarget(target, "/crash"); });
+  postToTarget(target, "/drain");
+  schedule(pickMs(500, 3000), [this, target] { postToTarget(target, "/crash"); });
 }
 
 void SoakFaults::refuse(unsigned target) {
   const std::string length = std::to_string(pick(300, 5000));
   const std::string percent = std::to_string(pick(30, 100));
   note("target " + std::to_string(target) + " refuses " + percent + "% of its orders for " + length + " ms");
-  tellTarget(target, "/refuse?ms=" + length + "&percent=" + percent);
+  postToTarget(target, "/refuse?ms=" + length + "&percent=" + percent);
 }
 
 void SoakFaults::delay(unsigned target) {
   const std::string length = std::to_string(pick(300, 5000));
   const std::string percent = std::to_string(pick(20, 100));
   note("target " + std::to_string(target) + " carries " + percent + "% of its orders out late for " + length + " ms");
-  tellTarget(target, "/late?ms=" + length + "&percent=" + percent);
+  postToTarget(target, "/late?ms=" + length + "&percent=" + percent);
 }
 
 void SoakFaults::refuseOrders() { refuse(pick(1, m_cluster.size().targets)); }
 
-void SoakFaults::lateOrders() { delay(pick(1, m_cluster.size().targets)); }
+void SoakFaults::delayOrders() { delay(pick(1, m_cluster.size().targets)); }
 
-/** Late orders, and refusals that begin while some of them are on their way. */
-void SoakFaults::refuseAndLate() {
+/** Delays orders, and begins to refuse orders while some of the delayed ones are in transit. */
+void SoakFaults::refuseAndDelayOrders() {
   const unsigned target = pick(1, m_cluster.size().targets);
   delay(target);
-  later(pickMs(0, 1500), [this, target] {
+  schedule(pickMs(0, 1500), [this, target] {
     if (!m_healing) refuse(target);
   });
 }
 
-/** The former life's heartbeats arrive while the present life registers or has runs; its agent may be new as well. */
+/** Heartbeats of the previous incarnation arrive while the present one registers or has runs; its agent may have been
+ * restarted as well. */
 void SoakFaults::crashWithLateHeartbeats() {
   const unsigned target = pick(1, m_cluster.size().targets);
   const std::string after = std::to_string(pick(100, 3000));
@@ -335,31 +338,33 @@
   note("target " + std::to_string(target) + " crashes, " + times + " of its heartbeats arrive " + after + " ms later");
   const std::string crash = "/crash?late=" + after + "&times=" + times;
   if (pick(1, 3) == 1) kill("agent-" + std::to_string(target), pickMs(0, 1000));
-  if (pick(1, 4) > 1) return tellTarget(target, crash);
-  tellTarget(target, "/drain");
-  later(pickMs(200, 1500), [this, target, crash] { tellTarget(target, crash); });
+  if (pick(1, 4) > 1) return postToTarget(target, crash);
+  postToTarget(target, "/drain");
+  schedule(pickMs(200, 1500), [this, target, crash] { postToTarget(target, crash); });
 }
 
-/** A new life under the former one's identity, with its agent alive or killed, beside the former one's heartbeats. */
-void SoakFaults::beginAgain() {
+/** Starts a new incarnation under the previous one's identity, with its agent alive or killed, while heartbeats of the
+ * previous one still arrive. */
+void SoakFaults::restartUnderSameIdentity() {
   const unsigned target = pick(1, m_cluster.size().targets);
   const std::string after = std::to_string(pick(50, 2000));
   const std::string times = std::to_string(pick(1, 3));
   note("target " + std::to_string(target) + " begins again under its identity, " + times +
        " heartbeats of the former life arrive " + after + " ms later");
   if (pick(1, 3) == 1) kill("agent-" + std::to_string(target), pickMs(0, 1000));
-  tellTarget(target, "/crash?same=1&late=" + after + "&times=" + times);
+  postToTarget(target, "/crash?same=1&late=" + after + "&times=" + times);
 }
 
-/** Orders to a life are carried out by the next ones, which come twice in a second at times. */
-void SoakFaults::beginAgainUnderLateOrders() {
+/** Orders to one incarnation are executed by the following ones; up to two new incarnations start within about two
+ * seconds. */
+void SoakFaults::restartDuringDelayedOrders() {
   const unsigned target = pick(1, m_cluster.size().targets);
   delay(target);
-  for (unsigned lives = pick(1, 2); lives > 0; --lives) {
-    later(pickMs(100, 2000), [this, target] {
+  for (unsigned incarnations = pick(1, 2); incarnations > 0; --incarnations) {
+    schedule(pickMs(100, 2000), [this, target] {
       if (m_healing) return;
       note("target " + std::to_string(target) + " begins again under its identity");
-      tellTarget(target, "/crash?same=1");
+      postToTarget(target, "/crash?same=1");
     });
   }
 }
--- a/test/soak/SoakFaults.h
+++ b/test/soak/SoakFaults.h
@@ -14,34 +14,36 @@
 
 namespace courseloom::test {
 
-/** Which kinds of faults are drawn. A seed plays what it always played as long as it is drawn from the same kinds, so
- * new kinds come with a new draw. */
+/** Which kinds of faults are drawn. A seed gives the same faults only if it draws from the same kinds, so new kinds are
+ * added as a new draw. */
 enum class FaultDraw {
-  First = 1,    ///< processes, disks, links; back ends that crash, fall silent, leave
-  Orders = 2,   ///< as well: orders that are refused or carried out late, heartbeats that outlive their sender
-  Lives = 3,    ///< as well: back ends that begin again under the identity that they had
-  Silence = 4,  ///< as well: connections that fall silent for good while new ones work
-  Crashes = 5   ///< as well: jobs whose tasks crash each back end that starts them
+  First = 1,         ///< faults of processes, disks and links; back ends that crash, become silent or leave
+  Orders = 2,        ///< also orders that are refused or executed late, heartbeats that outlive their sender
+  Incarnations = 3,  ///< also back ends that restart under their previous identity
+  Silence = 4,       ///< also connections that become silent for good while new ones work
+  Crashes = 5        ///< also jobs whose tasks crash every back end that starts them
 };
 constexpr FaultDraw NewestDraw = FaultDraw::Crashes;
 
 /** \class SoakFaults
- * \brief Draws faults from a seed and brings them about: signals in series, kills, lost and torn disks, harmed links,
- * back ends that crash, fall silent or leave, refuse orders or carry them out late, and heartbeats that arrive after
- * their sender's crash. They overlap; only the loss of disks keeps to what three replicas bear.
+ * \brief Draws faults from a seed and injects them: series of signals, kills, lost disks and torn records, disturbed
+ * links, back ends that crash, become silent or leave, refuse orders or execute them late, and heartbeats that arrive
+ * after their sender's crash. Faults overlap; only the loss of disks is limited to what three replicas tolerate.
  */
 class SoakFaults {
  public:
   SoakFaults(SoakCluster& cluster, Disturbances& disturbances, std::uint64_t seed, FaultDraw draw);
 
-  /** Begins what is due now. Called every few milliseconds. */
+  /** Injects the faults and runs the delayed actions that are due. Called every few milliseconds. */
   void step();
-  /** Ends all faults: every process runs, every link is whole. */
+  /** Stops injecting faults and ends those of links and orders. Processes that are down are restarted by subsequent
+   * step() calls. */
   void heal();
   std::vector<std::string> violations() const { return m_violations; }
-  /** \returns the faults so far, one a line. */
+  /** \returns the faults so far, one per line. */
   const std::vector<std::string>& log() const { return m_log; }
-  bool quiet() const { return m_later.empty(); }
+  /** \returns whether no delayed action is pending. */
+  bool quiet() const { return m_delayed.empty(); }
 
  private:
   enum class State { Running, Paused, Stopping, Down };
@@ -54,22 +56,22 @@
   void killOne();
   void killAllControl();
   void stopOne();
-  void stopInTurn();
+  void stopAllOfKind();
   void pauseOne();
-  void hangUpSeries();
-  void loseDisk();
+  void sendHangUps();
+  void wipeDisk();
   void tearDisk();
-  void harmLink();
+  void disturbLink();
   void resetLinks();
-  void harmTarget();
-  void leaveTarget();
+  void disturbTarget();
+  void drainTarget();
   void refuseOrders();
-  void lateOrders();
-  void refuseAndLate();
+  void delayOrders();
+  void refuseAndDelayOrders();
   void crashWithLateHeartbeats();
   void silenceConnections();
-  void beginAgain();
-  void beginAgainUnderLateOrders();
+  void restartUnderSameIdentity();
+  void restartDuringDelayedOrders();
   void refuse(unsigned target);
   void delay(unsigned target);
 
@@ -77,7 +79,7 @@
   void stop(const std::string& name);
   void awaitStop(const std::string& name, Time begun);
   void restart(const std::string& name);
-  void later(Duration after, std::function<void()> action);
+  void schedule(Duration after, std::function<void()> action);
   void note(const std::string& text);
   std::string anyDaemon();
   std::string anyOf(const std::string& kind);
@@ -87,17 +89,17 @@
     return std::uniform_int_distribution<unsigned>(first, last)(m_random);
   }
   Duration pickMs(unsigned first, unsigned last) { return milliseconds(pick(first, last)); }
-  void tellTarget(unsigned target, const std::string& path);
+  void postToTarget(unsigned target, const std::string& path);
 
   SoakCluster& m_cluster;
   Disturbances& m_disturbances;
   std::mt19937_64 m_random;
   FaultDraw m_draw;
-  Time m_began = BootClock::now();
+  Time m_startedAt = BootClock::now();
   Time m_next{};
-  Time m_controlHarmed{};  ///< when a control replica or its links were last harmed
+  Time m_lastControlFault{};  ///< end of the last fault of a control replica or its links
   bool m_healing = false;
-  std::multimap<Time, std::function<void()>> m_later;
+  std::multimap<Time, std::function<void()>> m_delayed;
   std::map<std::string, State> m_states;
   std::vector<std::string> m_violations;
   std::vector<std::string> m_log;
--- a/test/soak/SocketOwner.cpp
+++ b/test/soak/SocketOwner.cpp
@@ -23,33 +23,33 @@
 
 constexpr std::size_t AnswerBytes = 4096;
 
-struct Question {
+struct DiagQuery {
   nlmsghdr header;
   inet_diag_req_v2 request;
 };
 
 std::uint32_t wireAddress(const Endpoint& endpoint) { return htonl(endpoint.address().to_v4().to_uint()); }
 
-Question questionFor(const Endpoint& local, const Endpoint& remote) {
-  Question question{};
-  question.header.nlmsg_len = sizeof(Question);
-  question.header.nlmsg_type = SOCK_DIAG_BY_FAMILY;
-  question.header.nlmsg_flags = NLM_F_REQUEST;
-  question.request.sdiag_family = AF_INET;
-  question.request.sdiag_protocol = IPPROTO_TCP;
-  question.request.id.idiag_sport = htons(local.port());
-  question.request.id.idiag_dport = htons(remote.port());
-  question.request.id.idiag_src[0] = wireAddress(local);
-  question.request.id.idiag_dst[0] = wireAddress(remote);
-  question.request.id.idiag_cookie[0] = INET_DIAG_NOCOOKIE;
-  question.request.id.idiag_cookie[1] = INET_DIAG_NOCOOKIE;
-  return question;
+DiagQuery makeQuery(const Endpoint& local, const Endpoint& remote) {
+  DiagQuery query{};
+  query.header.nlmsg_len = sizeof(DiagQuery);
+  query.header.nlmsg_type = SOCK_DIAG_BY_FAMILY;
+  query.header.nlmsg_flags = NLM_F_REQUEST;
+  query.request.sdiag_family = AF_INET;
+  query.request.sdiag_protocol = IPPROTO_TCP;
+  query.request.id.idiag_sport = htons(local.port());
+  query.request.id.idiag_dport = htons(remote.port());
+  query.request.id.idiag_src[0] = wireAddress(local);
+  query.request.id.idiag_dst[0] = wireAddress(remote);
+  query.request.id.idiag_cookie[0] = INET_DIAG_NOCOOKIE;
+  query.request.id.idiag_cookie[1] = INET_DIAG_NOCOOKIE;
+  return query;
 }
 
-/** \returns the inode in an answer, or 0 for an error or something else. */
+/** \returns the inode in an answer, or 0 if the answer is an error or of another type. */
 std::uint32_t inodeIn(const std::array<char, AnswerBytes>& answer, std::size_t length) {
-  constexpr std::size_t Whole = NLMSG_LENGTH(sizeof(inet_diag_msg));
-  if (length < Whole) return 0;
+  constexpr std::size_t MinAnswerBytes = NLMSG_LENGTH(sizeof(inet_diag_msg));
+  if (length < MinAnswerBytes) return 0;
   nlmsghdr header{};
   std::memcpy(&header, answer.data(), sizeof(header));
   if (header.nlmsg_type != SOCK_DIAG_BY_FAMILY) return 0;
@@ -63,10 +63,10 @@
 std::uint32_t inodeOfConnection(const Endpoint& local, const Endpoint& remote) {
   const int kernel = socket(AF_NETLINK, SOCK_DGRAM | SOCK_CLOEXEC, NETLINK_SOCK_DIAG);
   if (kernel < 0) return 0;
-  const Question question = questionFor(local, remote);
+  const DiagQuery query = makeQuery(local, remote);
   std::array<char, AnswerBytes> answer{};
-  ssize_t length = send(kernel, &question, sizeof(question), 0);
-  if (length == sizeof(question)) length = recv(kernel, answer.data(), answer.size(), 0);
+  ssize_t length = send(kernel, &query, sizeof(query), 0);
+  if (length == sizeof(query)) length = recv(kernel, answer.data(), answer.size(), 0);
   close(kernel);
   return length > 0 ? inodeIn(answer, static_cast<std::size_t>(length)) : 0;
 }
--- a/test/soak/SocketOwner.h
+++ b/test/soak/SocketOwner.h
@@ -9,17 +9,16 @@
 
 namespace courseloom::test {
 
-/** Asks the kernel for one end of an open TCP connection on this machine.
+/** Queries the kernel for the socket at one end of an open TCP connection on this machine.
  *
- * One question by its four numbers costs the same however many closed connections the kernel remembers; to read
- * /proc/net/tcp took 1.6 s beside 131,000 of them (one reading, machine loaded), and a proxy that does so for each
- * caller answers nobody in time.
- * \param local the end that is asked for \param remote its other end \returns inode of its socket, or 0 if there is
- * none
+ * A sock_diag query by both addresses and ports takes the same time however many closed connections the kernel keeps.
+ * Reading /proc/net/tcp took 1.6 s with 131,000 of them (one reading, on a loaded machine); a proxy that reads it for
+ * each caller cannot answer in time.
+ * \param local the end that is queried \param remote its peer \returns inode of the socket, or 0 if there is none
  */
 std::uint32_t inodeOfConnection(const boost::asio::ip::tcp::endpoint& local,
                                 const boost::asio::ip::tcp::endpoint& remote);
-/** \returns the process, of those given by id, that has the local end of a connection; 0 if none. */
+/** \returns which of the given process ids owns the local end of a connection; 0 if none does. */
 int ownerOfConnection(const boost::asio::ip::tcp::endpoint& local, const boost::asio::ip::tcp::endpoint& remote,
                       const std::vector<int>& pids);
 
--- a/test/soak/soak.cpp
+++ b/test/soak/soak.cpp
@@ -1,16 +1,16 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// Fault soak: real programs as separate processes on loopback, faults from outside drawn from a seed, promises checked
-// while it runs from what callers and back ends see.
+// Fault soak: runs the real programs as separate processes on loopback, injects faults drawn from a seed, and checks
+// the system's guarantees during the run against what callers and back ends observe.
 //
 //   soak --seed 7 --seconds 20            one run
-//   soak --seed 1 --runs 50 --seconds 15  fifty seeds, one line each
-//   soak --large                          as many processes as the machine bears
-//   soak --draw 1                         only the kinds of faults that the first draw knew
-//   soak --cases test/soak/cases.txt      every seed that ever failed
+//   soak --seed 1 --runs 50 --seconds 15  fifty seeds, one line of output each
+//   soak --large                          as many processes as the machine bears: 3 control replicas, 4 entries, 12 targets
+//   soak --draw 1                         only the kinds of faults of the first draw
+//   soak --cases test/soak/cases.txt      the seeds in a file of runs that have failed before
 //
-// Ends with 0 if every promise held. The folder of a run that failed is kept and named.
+// The exit code is 0 if no run found a violation. The folder of a failed run is kept and its path is printed.
 
 #include <CLI/CLI.hpp>
 #include <fstream>
@@ -28,11 +28,12 @@
 
 constexpr Duration StepPause = milliseconds(10);
 constexpr Duration CheckInterval = milliseconds(500);
-/** After the last fault every accepted job ends within this: leases lapse, replicas elect, back ends register. */
+/** Every accepted job has to end within this time after the last fault: leases expire, replicas elect a leader, back
+ * ends register. */
 constexpr Duration HealLimit = milliseconds(60000);
 constexpr unsigned Callers = 8;
 constexpr unsigned LargeCallers = 24;
-/** What still runs for a job that has ended is stopped within this. */
+/** Tasks that still run for a job that has ended have to be stopped within this time. */
 constexpr Duration SettleTime = milliseconds(4000);
 
 struct SoakOptions {
@@ -42,10 +43,10 @@
   bool large = false;
   bool verbose = false;
   unsigned draw = static_cast<unsigned>(NewestDraw);
-  std::string cases;  ///< file of seeds that have failed once
+  std::string cases;  ///< file of runs that have failed before; empty: none
 };
 
-/** One run to play. */
+/** Parameters of one run. */
 struct SoakCase {
   std::uint64_t seed = 1;
   unsigned seconds = 20;
@@ -53,7 +54,7 @@
   FaultDraw draw = NewestDraw;
 };
 
-/** Reads lines `SEED SECONDS DRAW normal|large CAUSE`; those that begin with # are notes. */
+/** Reads lines `SEED SECONDS DRAW normal|large CAUSE`; lines that begin with # are comments. */
 std::vector<SoakCase> readCases(const std::string& name) {
   std::vector<SoakCase> cases;
   std::ifstream file(name);
@@ -83,7 +84,7 @@
 }
 
 /** \class SoakRun
- * \brief One run of one seed.
+ * \brief One run of one seed, with its deployment, clients, faults and checks.
  */
 class SoakRun {
  public:
@@ -93,6 +94,7 @@
         m_faults(m_cluster, m_disturbances, one.seed * 3 + 2, one.draw),
         m_events(m_cluster, m_history) {}
 
+  /** Injects faults for a time, then waits for all jobs to end. \returns whether no violation was found */
   bool play(Duration length) {
     m_clients.start();
     const Time end = BootClock::now() + length;
@@ -109,7 +111,7 @@
     return m_found.empty();
   }
 
-  /** \returns whether no task was started at all, so that nothing was shown of them. */
+  /** \returns whether no task was started at all, so that the run shows nothing about tasks. */
   bool empty() const { return m_history.starts() == 0; }
 
   void print(std::ostream& out, bool verbose) const {
@@ -121,21 +123,22 @@
   }
 
  private:
-  void advance(bool calm) {
+  void advance(bool healed) {
     m_faults.step();
-    for (const std::string& end : m_cluster.ownEnds()) m_found.insert(end);
+    for (const std::string& end : m_cluster.unexpectedExits()) m_found.insert(end);
     if (BootClock::now() >= m_nextCheck) {
       m_nextCheck = BootClock::now() + CheckInterval;
-      check(calm);
+      check(healed);
     }
     std::this_thread::sleep_for(StepPause);
   }
 
-  void check(bool calm) {
-    // Events first: a job that is shown as completed after they were read may not be in them yet.
+  void check(bool healed) {
+    // The jobs are copied before the events are read: the end of a job that completes after the read may not be in the
+    // events yet.
     const std::map<std::string, ExpectedJob> jobs = m_clients.jobs();
     m_events.read();
-    for (const std::string& line : m_history.check(jobs, BootClock::now(), calm)) m_found.insert(line);
+    for (const std::string& line : m_history.check(jobs, BootClock::now(), healed)) m_found.insert(line);
     for (const std::string& line : m_clients.violations()) m_found.insert(line);
     for (const std::string& line : m_faults.violations()) m_found.insert(line);
   }
--- a/test/target_troubles.cpp
+++ b/test/target_troubles.cpp
@@ -1,8 +1,8 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// Real processes beside a target in trouble: a task has no two runs at once when stops are refused and starts come
-// late, and no run of a target's present life is ended by a heartbeat of its former one.
+// Faulty targets on real processes. A task must not run twice at once when stops are refused and starts arrive late,
+// and a heartbeat of a target's previous incarnation must not end runs of the present one.
 
 #include <fstream>
 #include <iostream>
@@ -18,7 +18,7 @@
 
 namespace {
 
-/** Longer than anything that is waited for takes on a machine that is busy. */
+/** Longer than any awaited event takes on a busy machine. */
 constexpr Duration Limit = milliseconds(60000);
 constexpr std::chrono::milliseconds Poll(20);
 
@@ -31,13 +31,13 @@
   return false;
 }
 
-/** \class TroubledTargets
- * \brief One replica, one entry, two agents with their targets, and what the targets ran.
+/** \class FaultyTargets
+ * \brief One replica, one entry and two agents with their targets, and the history of the targets' runs.
  */
-class TroubledTargets {
+class FaultyTargets {
  public:
-  explicit TroubledTargets(std::uint64_t seed) : m_cluster({1, 1, 2}, seed), m_events(m_cluster, m_history) {}
-  ~TroubledTargets() {
+  explicit FaultyTargets(std::uint64_t seed) : m_cluster({1, 1, 2}, seed), m_events(m_cluster, m_history) {}
+  ~FaultyTargets() {
     if (std::getenv("COURSELOOM_KEEP") == nullptr) return;
     m_cluster.keep();
     std::cerr << "kept " << m_cluster.folder() << std::endl;
@@ -70,44 +70,44 @@
   HttpReply target(unsigned number, const std::string& path) {
     return send({m_cluster.runnerAddress(number), "POST", path, "", {}, Limit});
   }
-  /** \returns a count that a target keeps. */
-  unsigned counted(unsigned number, const std::string& name) {
+  /** \returns a counter of a target by name, or 0 if it has none. */
+  unsigned counter(unsigned number, const std::string& name) {
     const std::string text = send({m_cluster.runnerAddress(number), "GET", "/starts", "", {}, Limit}).body;
     const std::size_t at = text.find("\"" + name + "\":");
     if (at == std::string::npos) return 0;
     return static_cast<unsigned>(std::atoi(text.c_str() + at + name.size() + 3));
   }
-  /** \returns what the event files show to be broken; empty if all is well. */
-  std::string broken() {
+  /** \returns the violations that the event files show, one per line; empty if there are none. */
+  std::string violations() {
     m_events.read();
     std::string text;
     for (const std::string& line : m_history.check(m_jobs, BootClock::now(), false)) text += line + "\n";
     return text;
   }
-  /** \returns the identities that a target has had, the present one last. */
-  std::vector<std::string> lives(unsigned number) const {
+  /** \returns the incarnations that a target has had, the present one last. */
+  std::vector<std::string> incarnations(unsigned number) const {
     std::vector<std::string> found;
     std::ifstream file(m_cluster.eventFile(number));
     for (std::string line; std::getline(file, line);) {
       const std::optional<RunEvent> event = parseRunEvent(line);
-      if (event && (found.empty() || found.back() != event->life)) found.push_back(event->life);
+      if (event && (found.empty() || found.back() != event->incarnation)) found.push_back(event->incarnation);
     }
     return found;
   }
-  /** \returns how often an agent has found a leader. */
+  /** \returns how many times an agent's log reports that it found a leader. */
   unsigned leadersFound(unsigned agent) const {
     unsigned count = 0;
     std::ifstream file(m_cluster.folder() + "/agent-" + std::to_string(agent) + ".log");
     for (std::string line; std::getline(file, line);) count += line.find("LeaderFound") != std::string::npos ? 1 : 0;
     return count;
   }
-  /** \returns lines of the leader's log that call runs of a life lost with their target. */
-  std::string calledLost(const std::string& life) const {
+  /** \returns the lines of the leader's log that report runs of an incarnation as lost with their target. */
+  std::string reportedLost(const std::string& incarnation) const {
     std::string text;
     std::ifstream file(m_cluster.folder() + "/control-1.log");
     for (std::string line; std::getline(file, line);) {
       const bool lost = line.find("RunTargetLost") != std::string::npos;
-      if (lost && line.find("\"" + life + "\"") != std::string::npos) text += line + "\n";
+      if (lost && line.find("\"" + incarnation + "\"") != std::string::npos) text += line + "\n";
     }
     return text;
   }
@@ -129,62 +129,62 @@
   std::map<std::string, ExpectedJob> m_jobs;
 };
 
-/** A target has crashed, its new life has runs. */
-void prepareNewLife(TroubledTargets& test, unsigned ms) {
+/** Crashes target 1 and waits until its new incarnation has runs. */
+void prepareNewIncarnation(FaultyTargets& test, unsigned ms) {
   cr_assert(test.setUp());
   cr_assert_eq(test.target(1, "/crash").status, 200);
-  // More tasks than the other target has room for.
+  // More tasks than the other target has capacity for.
   cr_assert(test.submit("00000000000000b1", 12, ms));
-  cr_assert(until([&] { return test.counted(1, "running") > 0; }), "the new life got no run");
+  cr_assert(until([&] { return test.counter(1, "running") > 0; }), "the new incarnation got no run");
 }
 
-void checkNewLife(TroubledTargets& test) {
+void checkNewIncarnation(FaultyTargets& test) {
   cr_assert(test.completes("00000000000000b1"));
-  const std::string broken = test.broken();
-  cr_assert(broken.empty(), "%s", broken.c_str());
-  const std::string lost = test.calledLost(test.lives(1).back());
-  cr_assert(lost.empty(), "the present life goes on, and its runs were called lost:\n%s", lost.c_str());
+  const std::string violations = test.violations();
+  cr_assert(violations.empty(), "%s", violations.c_str());
+  const std::string lost = test.reportedLost(test.incarnations(1).back());
+  cr_assert(lost.empty(), "the present incarnation is alive, but its runs were reported lost:\n%s", lost.c_str());
 }
 
 }  // namespace
 
-// Each round draws how late the starts come; what else can happen in it is not drawn.
-Test(target_troubles, refused_stops_beside_late_starts_double_no_task) {
+// The seed of each round determines how late the starts arrive; it does not determine the rest of the timing.
+Test(target_troubles, refused_stops_with_late_starts_run_no_task_twice) {
   for (std::uint64_t seed = firstSeed(); seed < firstSeed() + seedCount(2); ++seed) {
-    TroubledTargets test(seed);
+    FaultyTargets test(seed);
     cr_assert(test.setUp());
     const std::string always = "?ms=600000&percent=100&of=";
     test.target(1, "/late" + always + "run-start");
     test.target(1, "/refuse" + always + "run-stop");
     cr_assert(test.submit("00000000000000a1", 12, 5000));
-    cr_assert(until([&] { return test.counted(1, "refused") > 0; }), "no start on target 1 came into doubt");
+    cr_assert(until([&] { return test.counter(1, "refused") > 0; }), "no stop on target 1 was refused");
     test.target(1, "/late?ms=0");
-    cr_assert(until([&] { return test.counted(1, "cameLate") > 0 && test.counted(1, "onTheirWay") == 0; }));
+    cr_assert(until([&] { return test.counter(1, "cameLate") > 0 && test.counter(1, "onTheirWay") == 0; }));
     test.target(1, "/refuse?ms=0");
     cr_assert(test.completes("00000000000000a1"), "seed %lu", seed);
-    const std::string broken = test.broken();
-    cr_assert(broken.empty(), "seed %lu: %s", seed, broken.c_str());
+    const std::string violations = test.violations();
+    cr_assert(violations.empty(), "seed %lu: %s", seed, violations.c_str());
   }
 }
 
-Test(target_troubles, a_late_heartbeat_of_a_former_life_ends_no_run_of_the_present_one) {
-  TroubledTargets test(firstSeed());
-  prepareNewLife(test, 3000);
+Test(target_troubles, a_late_heartbeat_of_a_previous_incarnation_ends_no_run_of_the_present_one) {
+  FaultyTargets test(firstSeed());
+  prepareNewIncarnation(test, 3000);
   cr_assert_eq(test.target(1, "/former?times=3").status, 200);
-  checkNewLife(test);
+  checkNewIncarnation(test);
 }
 
-Test(target_troubles, a_restarted_agent_may_hear_the_former_life_first) {
-  TroubledTargets test(firstSeed());
-  prepareNewLife(test, 6000);
+Test(target_troubles, a_restarted_agent_that_first_receives_an_old_heartbeat_loses_no_run) {
+  FaultyTargets test(firstSeed());
+  prepareNewIncarnation(test, 6000);
   cr_assert_eq(test.target(1, "/hush?ms=600000").status, 200);
   test.cluster().kill("agent-1");
   const unsigned found = test.leadersFound(1);
   test.cluster().start("agent-1");
   cr_assert_eq(test.target(1, "/former").status, 200);
   cr_assert(until([&] { return test.leadersFound(1) > found; }));
-  // Time for the fault to show; the verdict comes at the end, whatever this finds.
-  until([&] { return !test.calledLost(test.lives(1).back()).empty(); }, milliseconds(1500));
+  // Waits for the fault to show; checkNewIncarnation decides in either case.
+  until([&] { return !test.reportedLost(test.incarnations(1).back()).empty(); }, milliseconds(1500));
   cr_assert_eq(test.target(1, "/hush?ms=0").status, 200);
-  checkNewLife(test);
+  checkNewIncarnation(test);
 }
--- a/test/view_follower.cpp
+++ b/test/view_follower.cpp
@@ -1,7 +1,7 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// A node's freshness lease while the control replicas have no leader for a time.
+// The freshness lease of a node while the control replicas temporarily have no leader.
 
 #include "Courseloom/src/Membership/ViewFollower.h"
 
@@ -21,7 +21,7 @@
 constexpr std::uint32_t LeaseMs = 3000;
 
 /** \class FakeLeader
- * \brief Holds a heartbeat back as long as it may; can refuse to lead, and falls silent.
+ * \brief Delays the answer to a heartbeat for the requested wait time. It can refuse to lead, and can become silent.
  */
 class FakeLeader {
  public:
@@ -32,15 +32,15 @@
   }
   unsigned port = 0;
   bool leads = true;
-  unsigned answers = 1000;                  ///< left to be given; then it is silent
-  std::vector<schema::WatchRequest> asked;  ///< while it leads
+  unsigned answers = 1000;                     ///< number of answers left; at 0 it is silent
+  std::vector<schema::WatchRequest> requests;  ///< requests received while it leads
 
  private:
   Awaitable<Result<schema::WatchReply>> answer(schema::WatchRequest request) {
     if (answers == 0) co_await sleepFor(milliseconds(60000));
     if (!leads) co_return fail(Failure{FailureCode::NoLeader, Ran::No, "watch", "", "", 0});
     --answers;
-    asked.push_back(request);
+    requests.push_back(request);
     co_await sleepFor(milliseconds(request.wait_ms()));
     schema::WatchReply reply;
     reply.set_term(1);
@@ -61,7 +61,7 @@
 }
 
 /** \class Stage
- * \brief A node that has followed a leader, which then refuses for most of the node's lease.
+ * \brief A node that has followed a leader; the leader then refuses requests for most of the node's lease.
  */
 class Stage {
  public:
@@ -78,7 +78,7 @@
     follower.start();
     io.run_for(milliseconds(300));
     leader.leads = false;
-    leader.asked.clear();
+    leader.requests.clear();
     io.run_for(milliseconds(2200));
   }
   asio::io_context io;
@@ -89,29 +89,29 @@
 
 }  // namespace
 
-Test(view_follower, a_node_whose_lease_runs_out_is_not_held_back) {
+Test(view_follower, a_node_whose_lease_runs_out_asks_for_an_immediate_answer) {
   Stage stage;
   stage.leader.leads = true;
   stage.io.run_for(milliseconds(400));
-  cr_assert(!stage.leader.asked.empty(), "the node has not asked again");
-  cr_assert_eq(stage.leader.asked.front().wait_ms(), 0, "it asked to be held back for %u ms",
-               stage.leader.asked.front().wait_ms());
+  cr_assert(!stage.leader.requests.empty(), "the node has not retried");
+  cr_assert_eq(stage.leader.requests.front().wait_ms(), 0, "it asked for a wait of %u ms",
+               stage.leader.requests.front().wait_ms());
 }
 
-Test(view_follower, a_lease_counts_from_the_question_that_was_answered) {
+Test(view_follower, a_lease_counts_from_the_request_that_was_answered) {
   Stage stage;
   stage.leader.answers = 1;
   stage.leader.leads = true;
   stage.io.run_for(milliseconds(1900));
-  cr_assert(stage.follower.fresh(), "the lease counts from a question that was refused");
+  cr_assert(stage.follower.fresh(), "the lease counts from a request that was refused");
 }
 
-Test(view_follower, a_question_that_is_asked_again_tells_the_present_state) {
+Test(view_follower, a_retried_request_reports_the_present_state) {
   Stage stage;
   stage.leaving = true;
   stage.io.run_for(milliseconds(100));
   stage.leader.leads = true;
   stage.io.run_for(milliseconds(400));
-  cr_assert(!stage.leader.asked.empty(), "the node has not asked again");
-  cr_assert(stage.leader.asked.front().node().leaving(), "a former state of the node was told");
+  cr_assert(!stage.leader.requests.empty(), "the node has not retried");
+  cr_assert(stage.leader.requests.front().node().leaving(), "an outdated state of the node was reported");
 }
--- a/test/whole_path.cpp
+++ b/test/whole_path.cpp
@@ -1,7 +1,7 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// The whole path as separate processes: crossed and late answers, and bad input.
+// The path of a request through separate processes: wrong and late answers of targets, and invalid input.
 
 #include <csignal>
 
@@ -11,18 +11,18 @@
 using namespace courseloom;
 using namespace courseloom::test;
 
-Test(whole_path, each_of_500_callers_gets_its_own_whole_answer) {
+Test(whole_path, each_of_500_callers_gets_its_own_complete_answer) {
   Deployment deployment({3, 2, 2, "", "queueLimit: 1000", ""});
   deployment.setUp();
   deployment.behave("target-1", "late", 40);
   deployment.behave("target-2", "late", 40);
-  std::vector<HttpAsk> asks;
+  std::vector<HttpCall> calls;
   std::vector<std::string> bodies;
   for (int i = 0; i < 500; ++i) {
     bodies.push_back("request " + std::to_string(i) + " " + std::string(static_cast<std::size_t>(i) * 7, 'x') + " end");
-    asks.push_back(deployment.request(i % 2 == 0 ? "entry-1" : "entry-2", bodies.back()));
+    calls.push_back(deployment.request(i % 2 == 0 ? "entry-1" : "entry-2", bodies.back()));
   }
-  const std::vector<HttpReply> replies = sendAll(asks);
+  const std::vector<HttpReply> replies = sendAll(calls);
   for (std::size_t i = 0; i < replies.size(); ++i) {
     cr_assert_eq(replies[i].status, 200, "request %zu: %u %s", i, replies[i].status, replies[i].body.c_str());
     const std::string wanted = " answers: " + bodies[i];
@@ -39,14 +39,14 @@
   Deployment deployment({1, 1, 2, "", "", ""});
   deployment.setUp();
   for (const char* mode : {"cut", "truncate", "cross", "drop"}) {
-    // One bad target: a repeatable request is answered by the other one, whole.
+    // With one faulty target, a repeatable request gets the complete answer of the other one.
     deployment.behave("target-1", mode);
     for (int i = 0; i < 6; ++i) {
       const HttpReply reply = send(deployment.request("entry-1", "whole"));
       cr_assert(reply.status == 200 && reply.body == "target-2 answers: whole", "%s: %u %s", mode, reply.status,
                 reply.body.c_str());
     }
-    // Both bad: an error that says that it may have run, never a short answer.
+    // With two, the caller gets an error that says that the request may have run, never a truncated answer.
     deployment.behave("target-2", mode);
     const HttpReply reply = send(deployment.request("entry-1", "whole"));
     cr_assert(reply.status >= 500 && reply.has("\"ran\":\"unknown\""), "%s: %u %s", mode, reply.status,
@@ -57,8 +57,8 @@
   }
 }
 
-// A repeatable request that ends each target was sent on to every one of them.
-Test(whole_path, a_request_that_ends_each_target_travels_through_all_of_them) {
+// Guards against a repeatable request that crashes its target being retried on every target.
+Test(whole_path, a_request_that_crashes_its_target_is_retried_at_most_twice) {
   Deployment deployment({1, 1, 5, "", "", ""});
   deployment.setUp();
   for (int i = 1; i <= 5; ++i) deployment.behave("target-" + std::to_string(i), "cut");
@@ -69,10 +69,10 @@
   const std::size_t at = metrics.find(counter);
   cr_assert(at != std::string::npos, "%s", metrics.c_str());
   const int retries = std::atoi(metrics.c_str() + at + counter.size());
-  cr_assert(retries <= 2, "it was sent on to %d further targets", retries);
+  cr_assert(retries <= 2, "it was retried on %d further targets", retries);
 }
 
-Test(whole_path, bad_input_gets_a_4xx_and_did_not_run) {
+Test(whole_path, invalid_input_gets_a_4xx_and_does_not_run) {
   Deployment deployment({1, 1, 1, "", "", "entry: {maxBodyBytes: 4096, idleTimeoutMs: 1000}\n"});
   deployment.setUp();
   const std::string entry = deployment.http("entry-1");
@@ -80,7 +80,7 @@
   const Headers json{{"Content-Type", "application/json"}};
   const std::string path = "/v1/services/quotes/requests";
   struct Case {
-    HttpAsk ask;
+    HttpCall call;
     unsigned status;
     std::string code;
   };
@@ -114,8 +114,8 @@
       {{entry, "GET", "/nowhere", "", {}}, 404, "not-found"},
   };
   for (const Case& one : cases) {
-    const HttpReply reply = send(one.ask);
-    cr_assert_eq(reply.status, one.status, "%s %s: %u %s", one.ask.method.c_str(), one.ask.path.c_str(), reply.status,
+    const HttpReply reply = send(one.call);
+    cr_assert_eq(reply.status, one.status, "%s %s: %u %s", one.call.method.c_str(), one.call.path.c_str(), reply.status,
                  reply.body.c_str());
     cr_assert(reply.has("\"code\":\"" + one.code + "\"") && reply.has("\"ran\":\"no\""), "%s", reply.body.c_str());
   }
--- a/test/workflows_processes.cpp
+++ b/test/workflows_processes.cpp
@@ -1,8 +1,9 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// Workflows on real processes: replicas found through seeds, agents with stand-ins of back ends, an entry; under kills,
-// a lost disk, a replica at another address, a back end that crashes, mutes, leaves.
+// Workflows on real processes: replicas found through seeds, agents with stand-ins for back ends, and an entry. Faults:
+// kills, a lost disk, a replica at another address, and back ends that crash, stall (execute no orders for a time) or
+// leave.
 
 #include <csignal>
 
@@ -33,14 +34,14 @@
     for (int wait = 0; wait < 200 && !test.runner(i, "GET", "/starts").has("\"running\":0"); ++wait) pause(20);
     cr_assert(test.runner(i, "GET", "/starts").has("\"running\":0"));
   }
-  // Versions: lower ones change nothing, bytes come back as they were sent.
+  // A lower version changes nothing, and the configuration is read back byte for byte.
   cr_assert_eq(test.configure(configuration(5, "key-2")), 200);
   cr_assert_eq(test.configure(configuration(3, "key-3")), 200);
   cr_assert(test.readBack() == configuration(5, "key-2"));
   cr_assert_eq(test.call("GET", "/q/").status, 401, "its key was taken away");
 }
 
-Test(workflows_processes, a_killed_leader_and_a_blank_agent_lose_and_double_nothing) {
+Test(workflows_processes, a_killed_leader_and_a_restarted_agent_lose_and_repeat_no_task) {
   WorkflowDeployment test;
   test.setUp();
   for (int i = 0; i < 6; ++i) {
@@ -73,7 +74,7 @@
   test.control(first, false);
   cr_assert(test.until(200, "GET", "/q/00000000000000c0", "", "completed"));
   pause(2500);
-  // One is gone for good; a fourth comes with an empty disk, and then another one of the first goes.
+  // One replica is lost for good and a fourth joins with an empty disk; then a second of the first three is killed.
   const unsigned second = test.leader();
   test.kill("control-" + std::to_string(second));
   test.control(4, false);
@@ -87,7 +88,7 @@
   cr_assert(test.readBack() == configuration(1));
 }
 
-Test(workflows_processes, back_ends_that_crash_mute_or_leave) {
+Test(workflows_processes, workflows_complete_while_back_ends_crash_stall_or_leave) {
   WorkflowDeployment test;
   test.setUp();
   for (int i = 0; i < 6; ++i) {
@@ -106,7 +107,7 @@
   cr_assert_not(test.runner(1, "GET", "/starts").has("00000000000000df"), "a leaving target gets no new work");
 }
 
-Test(workflows_processes, a_hang_up_reloads_and_a_term_ends_in_peace) {
+Test(workflows_processes, sighup_reloads_settings_and_sigterm_stops_cleanly) {
   WorkflowDeployment test;
   test.setUp();
   for (const char* name : {"control-1", "control-2", "control-3", "agent-1", "agent-2", "entry-1"}) {
@@ -124,13 +125,13 @@
   cr_assert_eq(test.process("entry-1").wait(milliseconds(40000)), 0);
 }
 
-// A drained hall gets nothing new, through the loss of the leader and of a disk, until it is given back.
-Test(workflows_processes, a_drained_data_hall_gets_no_new_work_until_it_is_given_back) {
+// The drain has to survive the loss of the leader and of a disk.
+Test(workflows_processes, a_drained_data_hall_gets_no_new_work_until_the_drain_ends) {
   WorkflowDeployment test;
   test.setUp();
   cr_assert_eq(test.order("/-/Evacuations.Start/no/hall"), 400);
   cr_assert_eq(test.call("POST", "/q/00000000000000f0", job(12, "1500")).status, 200);
-  // Both targets are kept free for urgent work for the first four seconds.
+  // The scheduler keeps both targets free for urgent work during the first four seconds.
   for (int wait = 0; wait < 1000 && !test.runner(2, "GET", "/starts").has("00000000000000f0"); ++wait) pause(20);
   cr_assert(test.runner(2, "GET", "/starts").has("00000000000000f0"));
   cr_assert_eq(test.order("/-/Evacuations.Start/hall-2"), 200);
@@ -154,7 +155,7 @@
   cr_assert(test.runner(2, "GET", "/starts").has("00000000000000f3"), "its targets are used again");
 }
 
-// What ran tells how slow a target is, and a new leader knows it without another run.
+// The slowdown of a target is estimated from its runs; a new leader has to know it without another run.
 Test(workflows_processes, a_new_leader_knows_which_target_is_slow) {
   WorkflowDeployment test;
   test.setUp();
@@ -176,7 +177,8 @@
   cr_assert(after > 1.5, "%.2f at the new leader", after);
 }
 
-// A gang waited for good for the one target where it had not failed, which was on probation.
+// Guards against a gang that waits forever for the only target where it has not failed, while that target is on
+// probation.
 Test(workflows_processes, a_gang_that_fails_ends_beside_a_target_on_probation) {
   WorkflowDeployment test;
   test.setUp();
@@ -190,8 +192,8 @@
   cr_assert(test.until(200, "GET", "/q/00000000000001b3", "", "failed"));
 }
 
-// A second and last attempt went to a target where another job had failed 10 ms before.
-Test(workflows_processes, the_last_attempt_keeps_away_from_where_others_failed) {
+// Guards against a second and last attempt on a target where another job failed 10 ms before.
+Test(workflows_processes, the_last_attempt_avoids_targets_where_others_failed) {
   WorkflowDeployment test(3);
   test.setUp();
   cr_assert_eq(test.call("POST", "/q/00000000000001c0", job(8, "14000")).status, 200);
@@ -207,7 +209,8 @@
   }
   cr_assert_neq(full, 0);
   cr_assert_eq(test.call("POST", "/q/00000000000001c1", job(1, "50")).status, 200);
-  cr_assert(test.until(200, "GET", "/q/00000000000001c1", "", "failed"), "nothing told that both targets fail");
+  cr_assert(test.until(200, "GET", "/q/00000000000001c1", "", "failed"),
+            "neither failing target was known to fail yet");
   cr_assert_eq(test.call("POST", "/q/00000000000001c2", job(1, "50")).status, 200);
   cr_assert(test.until(200, "GET", "/q/00000000000001c2", "", "completed"));
   cr_assert(test.runner(full, "GET", "/starts").has("00000000000001c2"));
