--- a/test/soak/soak.cpp
+++ b/test/soak/soak.cpp
@@ -6,7 +6,7 @@
 //
 //   soak --seed 7 --seconds 20            one run
 //   soak --seed 1 --runs 50 --seconds 15  fifty seeds, one line of output each
-//   soak --large                          as many processes as the machine bears: 3 control replicas, 4 entries, 12 targets
+//   soak --large                          as many processes as the machine bears
 //   soak --draw 1                         only the kinds of faults of the first draw
 //   soak --cases test/soak/cases.txt      the seeds in a file of runs that have failed before
 //
