--- a/test/AgentCrowd.cpp
+++ b/test/AgentCrowd.cpp
@@ -14,11 +14,11 @@
 
 constexpr std::size_t TargetsPerRack = 8;
 constexpr std::uint32_t LeastWaitMs = 300;
-/** Numbers of the agents as relays; nobody goes there. */
+/** Relay number of the first agent. No call is relayed there. */
 constexpr std::uint32_t FirstRelay = 0x7f0a0001;
 constexpr Duration ReportLimit = milliseconds(5000);
 
-schema::TargetReport targetOf(std::size_t number) {
+schema::TargetReport targetReport(std::size_t number) {
   schema::TargetReport target;
   target.set_id("life-" + std::to_string(number));
   target.set_service("s");
@@ -54,24 +54,25 @@
   return m_terms;
 }
 
-void AgentCrowd::forgetTerms() {
+void AgentCrowd::clearTerms() {
   const std::lock_guard lock(m_mutex);
   m_terms.clear();
 }
 
 std::size_t AgentCrowd::attendedSince(std::uint64_t term) const {
   const std::lock_guard lock(m_mutex);
-  std::size_t attended = 0;
-  for (auto granted = m_granted.lower_bound(term); granted != m_granted.end(); ++granted) attended += granted->second;
-  return attended;
+  std::size_t agents = 0;
+  for (auto granted = m_agentsByLeaseTerm.lower_bound(term); granted != m_agentsByLeaseTerm.end(); ++granted)
+    agents += granted->second;
+  return agents;
 }
 
-std::vector<double> AgentCrowd::takeDelays() {
+std::vector<double> AgentCrowd::consumeDelays() {
   const std::lock_guard lock(m_mutex);
   return std::move(m_delays);
 }
 
-void AgentCrowd::note(std::uint64_t term, double delayMs) {
+void AgentCrowd::recordReply(std::uint64_t term, double delayMs) {
   const std::lock_guard lock(m_mutex);
   m_terms.insert(term);
   m_delays.push_back(delayMs);
@@ -90,9 +91,9 @@
     }
     ++m_reports;
     m_bytes += request.ByteSizeLong() + reply->ByteSizeLong();
-    note(reply->term(), toMilliseconds(BootClock::now() - sent) - reply->held_ms());
+    recordReply(reply->term(), toMilliseconds(BootClock::now() - sent) - reply->held_ms());
     agent.reported.answered(request, *reply);
-    take(agent, *reply);
+    applyReply(agent, *reply);
   }
 }
 
@@ -103,7 +104,7 @@
   request.set_wait_ms(std::max(LeastWaitMs, agent.waitMs));
   request.set_term(agent.term);
   request.set_directory(agent.directory);
-  agent.reported.put(request, targetOf(agent.number));
+  agent.reported.put(request, targetReport(agent.number));
   request.set_sequence(++agent.sequence);
   request.set_relay(FirstRelay + static_cast<std::uint32_t>(agent.number));
   const Time now = BootClock::now();
@@ -113,7 +114,7 @@
     row->set_run(key.run);
     row->set_percent(static_cast<std::uint32_t>(99 * (now - run.startedAt) / (run.endsAt - run.startedAt)));
   }
-  for (const auto& [number, end] : agent.ended) {
+  for (const auto& [number, end] : agent.unacknowledgedEnds) {
     schema::EndReport* row = request.add_ends();
     row->set_number(number);
     *row->mutable_task() = makeTaskId(end.first.workflow, end.first.task);
@@ -135,19 +136,19 @@
 void AgentCrowd::end(Agent& agent, const RunKey& key, schema::RunEndKind kind) {
   if (agent.running.erase(key) == 0) return;
   --m_running;
-  agent.ended[++agent.lastEnd] = {key, kind};
+  agent.unacknowledgedEnds[++agent.lastEnd] = {key, kind};
 }
 
-void AgentCrowd::take(Agent& agent, const schema::AttendReply& reply) {
+void AgentCrowd::applyReply(Agent& agent, const schema::AttendReply& reply) {
   agent.term = reply.term();
   agent.waitMs = reply.wait_ms();
   if (reply.members_size() > 0) agent.directory = reply.directory();
-  if (reply.grant_ms() > 0 && reply.term() > agent.grantedIn) {
+  if (reply.grant_ms() > 0 && reply.term() > agent.leaseTerm) {
     const std::lock_guard lock(m_mutex);
-    if (agent.grantedIn != 0) --m_granted[agent.grantedIn];
-    ++m_granted[agent.grantedIn = reply.term()];
+    if (agent.leaseTerm != 0) --m_agentsByLeaseTerm[agent.leaseTerm];
+    ++m_agentsByLeaseTerm[agent.leaseTerm = reply.term()];
   }
-  std::erase_if(agent.ended, [&reply](const auto& end) { return end.first <= reply.ends_taken(); });
+  std::erase_if(agent.unacknowledgedEnds, [&reply](const auto& end) { return end.first <= reply.ends_taken(); });
   const Time now = BootClock::now();
   for (const schema::RunOrder& order : reply.orders()) {
     const RunKey key = runKeyOf(order.task(), order.run());
--- a/test/AgentCrowd.h
+++ b/test/AgentCrowd.h
@@ -19,26 +19,31 @@
 namespace courseloom::test {
 
 /** \class AgentCrowd
- * \brief Many agents that the test plays itself, each with a connection of its own to the leader and a target that runs
- * whatever is ordered for as many milliseconds as its payload says.
+ * \brief Many simulated agents, each with its own connection to the leader and a simulated target. The payload of an
+ * order is the run time of the task, ms.
+ *
+ * The agents run on a thread of this object. The public functions may be called from another thread.
  */
 class AgentCrowd {
  public:
   AgentCrowd(const schema::ClusterSettings& cluster, std::size_t agents);
   ~AgentCrowd();
 
-  /** \returns terms of which a leader has answered, from the last call of forgetTerms() on. */
+  /** \returns the terms of the leaders that have answered since the last call of clearTerms(). */
   std::set<std::uint64_t> terms() const;
-  void forgetTerms();
+  void clearTerms();
+  /** \returns number of runs started so far. */
   std::size_t started() const { return m_started; }
+  /** \returns number of runs that are running now. */
   std::size_t running() const { return m_running; }
-  /** \returns the time that each report took beyond what the leader held it back, ms. */
-  std::vector<double> takeDelays();
-  /** \returns reports that were answered so far. */
+  /** Returns and clears the delays of reports: the time of each from request to answer, without the time for which the
+   * leader held it back, ms. */
+  std::vector<double> consumeDelays();
+  /** \returns number of reports answered so far. */
   std::size_t reports() const { return m_reports; }
-  /** \returns bytes of all reports and answers so far, as messages. */
+  /** \returns total size of all answered reports and their answers so far, as serialized messages, bytes. */
   std::size_t bytes() const { return m_bytes; }
-  /** \returns how many agents a leader of this term, or of a later one, has granted anything. */
+  /** \returns number of agents that have got a lease from a leader of this term or a later one. */
   std::size_t attendedSince(std::uint64_t term) const;
 
  private:
@@ -51,22 +56,22 @@
     std::string name;
     std::size_t number = 0;
     std::map<RunKey, Run> running;
-    std::map<std::uint64_t, std::pair<RunKey, schema::RunEndKind>> ended;  ///< by number, not taken yet
+    std::map<std::uint64_t, std::pair<RunKey, schema::RunEndKind>> unacknowledgedEnds;  ///< by number
     std::uint64_t lastEnd = 0;
     std::uint64_t term = 0;
-    std::uint64_t grantedIn = 0;  ///< newest term whose leader has granted it anything
+    std::uint64_t leaseTerm = 0;  ///< newest term in which it got a lease; 0 if there was none
     std::uint64_t sequence = 0;
     ReportedTarget reported;
-    std::uint64_t directory = 0;
-    std::uint32_t waitMs = 0;  ///< for which the leader may hold its reports back
+    std::uint64_t directory = 0;  ///< number of the newest directory of replicas and relays that it received
+    std::uint32_t waitMs = 0;     ///< time for which the leader may hold its reports back, ms
   };
 
   Awaitable<void> attend(Agent& agent);
   schema::AttendRequest report(Agent& agent) const;
   void endRuns(Agent& agent);
   void end(Agent& agent, const RunKey& key, schema::RunEndKind kind);
-  void take(Agent& agent, const schema::AttendReply& reply);
-  void note(std::uint64_t term, double delayMs);
+  void applyReply(Agent& agent, const schema::AttendReply& reply);
+  void recordReply(std::uint64_t term, double delayMs);
 
   boost::asio::io_context m_io;
   std::vector<std::unique_ptr<Agent>> m_agents;
@@ -74,7 +79,8 @@
   std::atomic<std::size_t> m_running{0};
   std::atomic<std::size_t> m_reports{0};
   std::atomic<std::size_t> m_bytes{0};
-  std::map<std::uint64_t, std::size_t> m_granted;  ///< agents by the newest term whose leader has granted them anything
+  /** Number of agents by the newest term in which they got a lease. */
+  std::map<std::uint64_t, std::size_t> m_agentsByLeaseTerm;
   mutable std::mutex m_mutex;
   std::set<std::uint64_t> m_terms;
   std::vector<double> m_delays;
--- a/test/AgentStage.cpp
+++ b/test/AgentFixture.cpp
@@ -1,7 +1,7 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-#include "test/AgentStage.h"
+#include "test/AgentFixture.h"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -21,7 +21,7 @@
   return fail(Failure{FailureCode::TargetFailed, Ran::Unknown, "test", "", "no answer", 0});
 }
 
-TargetAnswer answerOf(TargetVerdict verdict, const std::string& reason = {}) {
+TargetAnswer makeAnswer(TargetVerdict verdict, const std::string& reason = {}) {
   TargetAnswer answer;
   answer.verdict = verdict;
   answer.reason = reason;
@@ -29,7 +29,8 @@
   return answer;
 }
 
-/** A heartbeat's path is /LIFE/SEQUENCE/ready or /LIFE/SEQUENCE/draining, and may end in the target's accelerators. */
+/** Parses a heartbeat. Its path is /INCARNATION/SEQUENCE/ready or /INCARNATION/SEQUENCE/draining, and may end in
+ * /ACCELERATORS, the target's number of accelerators. */
 Awaitable<HttpResponse> answerRegistration(HttpRequest request, TargetRegistry& registry) {
   const std::string path(request.target());
   const std::size_t second = path.find('/', 1);
@@ -58,10 +59,10 @@
   return order;
 }
 
-schema::AttendReply grantReply(std::uint32_t grantMs) {
+schema::AttendReply leaseReply(std::uint32_t leaseMs) {
   schema::AttendReply answer;
   answer.set_term(1);
-  answer.set_grant_ms(grantMs);
+  answer.set_grant_ms(leaseMs);
   return answer;
 }
 
@@ -72,35 +73,35 @@
   m_script.lastDeadlineMs = start.deadlineMs;
   m_script.startTokens[incarnation] = std::max(m_script.startTokens[incarnation], start.token);
   if (m_script.silent || m_script.startsGetNoAnswer) co_return noAnswer();
-  if (incarnation != m_script.incarnation) co_return answerOf(TargetVerdict::OtherIncarnation);
-  if (m_script.refusesStarts) co_return answerOf(TargetVerdict::Refused, "room");
-  co_return answerOf(TargetVerdict::Accepted);
+  if (incarnation != m_script.incarnation) co_return makeAnswer(TargetVerdict::OtherIncarnation);
+  if (m_script.refusesStarts) co_return makeAnswer(TargetVerdict::Refused, "room");
+  co_return makeAnswer(TargetVerdict::Accepted);
 }
 
 Awaitable<Result<TargetAnswer>> FakeTarget::stop(std::string incarnation, schema::TaskId, std::uint32_t, std::uint64_t,
                                                  Duration) {
   ++m_script.stops;
   if (m_script.silent) co_return noAnswer();
-  if (incarnation != m_script.incarnation) co_return answerOf(TargetVerdict::OtherIncarnation);
-  if (m_script.stops <= m_script.stopsRefused) co_return answerOf(TargetVerdict::Refused, "429");
-  ++m_script.stopsTaken;
-  co_return answerOf(TargetVerdict::Accepted);
+  if (incarnation != m_script.incarnation) co_return makeAnswer(TargetVerdict::OtherIncarnation);
+  if (m_script.stops <= m_script.stopsToRefuse) co_return makeAnswer(TargetVerdict::Refused, "429");
+  ++m_script.stopsAccepted;
+  co_return makeAnswer(TargetVerdict::Accepted);
 }
 
 Awaitable<Result<TargetAnswer>> FakeTarget::hold(std::string incarnation, TargetHold hold, Duration) {
   co_await sleepFor(milliseconds(std::min<std::uint32_t>(hold.waitMs, 20)));
   if (m_script.silent) co_return noAnswer();
-  if (m_script.busy || incarnation == m_script.busyFor) co_return answerOf(TargetVerdict::Refused, "429");
-  if (incarnation != m_script.incarnation) co_return answerOf(TargetVerdict::OtherIncarnation);
-  ++m_script.looks;
-  m_script.lookTokens.try_emplace(incarnation, hold.token);
+  if (m_script.busy || incarnation == m_script.busyIncarnation) co_return makeAnswer(TargetVerdict::Refused, "429");
+  if (incarnation != m_script.incarnation) co_return makeAnswer(TargetVerdict::OtherIncarnation);
+  ++m_script.polls;
+  m_script.pollTokens.try_emplace(incarnation, hold.token);
   m_script.lastSeen = hold.lastSeen;
-  co_await sleepFor(m_script.answersAfter);
-  TargetAnswer answer = answerOf(TargetVerdict::Accepted);
+  co_await sleepFor(m_script.answerDelay);
+  TargetAnswer answer = makeAnswer(TargetVerdict::Accepted);
   answer.incarnation = m_script.incarnation;
   answer.ends = m_script.ends;
   answer.moreEnds = m_script.moreEnds;
-  if (m_script.standsStill) {
+  if (m_script.reportsStalledRun) {
     schema::RunReport& row = answer.running.emplace_back();
     *row.mutable_task() = startOrder().task();
     row.set_run(1);
@@ -111,7 +112,7 @@
 
 Awaitable<Result<TargetAnswer>> FakeTarget::pace(std::string, schema::TaskId, std::uint32_t, std::uint32_t,
                                                  std::uint64_t, Duration) {
-  co_return answerOf(TargetVerdict::Accepted);
+  co_return makeAnswer(TargetVerdict::Accepted);
 }
 
 // ---- the leader
@@ -123,9 +124,9 @@
   return true;
 }
 
-// ---- the stage
+// ---- the fixture
 
-Stage::Stage(FakeLeader& leader, bool draining, std::uint32_t maxHoldMs) : m_server(io) {
+AgentFixture::AgentFixture(FakeLeader& leader, bool draining, std::uint32_t maxHoldMs) : m_server(io) {
   leader.target = &target;
   m_server.handle<schema::AttendRequest>(
       "attend", [&leader](schema::AttendRequest request, std::string) { return leader.attend(std::move(request)); });
@@ -141,31 +142,31 @@
   m_settings.mutable_runner()->set_look_ms(100);
   m_settings.mutable_runner()->set_max_hold_ms(maxHoldMs);
   m_settings.mutable_edge()->set_control_endpoint(Address + ":" + std::to_string(m_registrationPort));
-  RunAgentProtocol edges;
-  edges.makePort = [this](const DaemonContext&) { return std::make_unique<FakeTarget>(target); };
-  edges.answerRegistration = answerRegistration;
-  m_agent = std::make_unique<RunAgentService>(DaemonContext{io, m_settings, m_metrics}, std::move(edges));
-  cr_assert(static_cast<bool>(m_agent->start()), "the agent does not listen");
-  asio::co_spawn(io, deliver(draining ? "/i-1/1/draining" : "/i-1/1/ready"), asio::detached);
+  RunAgentProtocol protocol;
+  protocol.makePort = [this](const DaemonContext&) { return std::make_unique<FakeTarget>(target); };
+  protocol.answerRegistration = answerRegistration;
+  m_agent = std::make_unique<RunAgentService>(DaemonContext{io, m_settings, m_metrics}, std::move(protocol));
+  cr_assert(static_cast<bool>(m_agent->start()), "the agent cannot listen on its ports");
+  asio::co_spawn(io, deliverHeartbeat(draining ? "/i-1/1/draining" : "/i-1/1/ready"), asio::detached);
 }
 
-void Stage::beginNextLife(bool silent) {
+void AgentFixture::startNextIncarnation(bool silent) {
   run(milliseconds(300));
   target.incarnation = "i-2";
   target.silent = silent;
   announce("i-2", 1);
 }
 
-void Stage::announce(const std::string& incarnation, std::uint64_t sequence) {
-  asio::co_spawn(io, deliver("/" + incarnation + "/" + std::to_string(sequence) + "/ready"), asio::detached);
+void AgentFixture::announce(const std::string& incarnation, std::uint64_t sequence) {
+  asio::co_spawn(io, deliverHeartbeat("/" + incarnation + "/" + std::to_string(sequence) + "/ready"), asio::detached);
 }
 
-void Stage::resize(std::uint64_t sequence, unsigned accelerators) {
+void AgentFixture::resize(std::uint64_t sequence, unsigned accelerators) {
   const std::string path = "/i-1/" + std::to_string(sequence) + "/ready/" + std::to_string(accelerators);
-  asio::co_spawn(io, deliver(path), asio::detached);
+  asio::co_spawn(io, deliverHeartbeat(path), asio::detached);
 }
 
-Awaitable<void> Stage::deliver(std::string path) {
+Awaitable<void> AgentFixture::deliverHeartbeat(std::string path) {
   HttpClient client(io, Address, m_registrationPort, 0);
   co_await client.exchange("register", HttpRequest(boost::beast::http::verb::post, path, 11), milliseconds(1000), 4096);
 }
--- a/test/leader_costs.cpp
+++ b/test/leader_costs.cpp
@@ -1,7 +1,8 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// What a leader does for agents that have nothing to tell: work is counted, not timed.
+// The work of a leader for agents that report no changes. The tests count plans, reports and bytes and measure no
+// times.
 
 #include "test/AgentCrowd.h"
 #include "test/WorkflowDeployment.h"
@@ -11,23 +12,23 @@
 
 namespace {
 
-constexpr std::size_t Few = 200;
-constexpr std::size_t Many = 700;
+constexpr std::size_t FewAgents = 200;
+constexpr std::size_t ManyAgents = 700;
 constexpr std::int64_t MeasuredMs = 3000;
 
-/** \class Followed
- * \brief A deployment whose leader has heard many agents and grants them time.
+/** \class LeaderWithAgents
+ * \brief A deployment whose leader has received reports of all agents and granted them leases.
  */
-struct Followed {
+struct LeaderWithAgents {
   WorkflowDeployment deployment{0};
-  std::unique_ptr<AgentCrowd> crowd;
+  std::unique_ptr<AgentCrowd> simulatedAgents;
   unsigned leader = 0;
 
-  explicit Followed(std::size_t agents) {
+  explicit LeaderWithAgents(std::size_t agents) {
     deployment.setUp();
-    crowd = std::make_unique<AgentCrowd>(deployment.cluster(), agents);
-    for (int wait = 0; wait < 1000 && crowd->attendedSince(1) < agents; ++wait) pause(10);
-    cr_assert_eq(crowd->attendedSince(1), agents);
+    simulatedAgents = std::make_unique<AgentCrowd>(deployment.cluster(), agents);
+    for (int wait = 0; wait < 1000 && simulatedAgents->attendedSince(1) < agents; ++wait) pause(10);
+    cr_assert_eq(simulatedAgents->attendedSince(1), agents);
     leader = deployment.leader();
     cr_assert_neq(leader, 0);
   }
@@ -35,31 +36,32 @@
 
 }  // namespace
 
-// Each report woke the planner, so that passes came as often as reports did, hundreds a second.
-Test(leader_costs, reports_without_news_make_no_plans) {
-  Followed test(Few);
-  // No target has so many accelerators: the step waits, and there is something to plan.
+// Guards against a planner that each report triggers: it ran hundreds of times a second, as often as reports arrived.
+Test(leader_costs, reports_without_changes_trigger_no_plans) {
+  LeaderWithAgents test(FewAgents);
+  // No target has so many accelerators, so the step waits and the planner has something to plan.
   const std::string tooLarge = job(1, "100", false, 64);
   cr_assert(test.deployment.until(200, "POST", "/q/00000000000002a0", tooLarge));
   const double plans = test.deployment.metric(test.leader, "courseloom_plan_ms_count");
-  const std::size_t reports = test.crowd->reports();
+  const std::size_t reports = test.simulatedAgents->reports();
   pause(MeasuredMs);
   const double made = test.deployment.metric(test.leader, "courseloom_plan_ms_count") - plans;
-  cr_assert_gt(test.crowd->reports() - reports, Few, "the agents have stopped reporting");
-  cr_assert_gt(made, 0.0, "what waits is not planned at all");
+  cr_assert_gt(test.simulatedAgents->reports() - reports, FewAgents, "the agents have stopped reporting");
+  cr_assert_gt(made, 0.0, "the waiting step is not planned at all");
   const double ticks = static_cast<double>(MeasuredMs) / 100.0;
   cr_assert_lt(made, 2.0 * ticks, "%.0f plans while nothing changed", made);
 }
 
-// A report named all that its agent knew, and each answer all replicas and relays.
-Test(leader_costs, reports_without_news_are_few_and_short) {
-  Followed test(Many);
+// Guards against full reports and answers: each report contained the agent's whole state, and each answer all replicas
+// and relays.
+Test(leader_costs, reports_without_changes_are_few_and_short) {
+  LeaderWithAgents test(ManyAgents);
   pause(2000);
-  const std::size_t reports = test.crowd->reports();
-  const std::size_t bytes = test.crowd->bytes();
+  const std::size_t reports = test.simulatedAgents->reports();
+  const std::size_t bytes = test.simulatedAgents->bytes();
   pause(MeasuredMs);
-  const auto made = static_cast<double>(test.crowd->reports() - reports);
-  const double bytesEach = static_cast<double>(test.crowd->bytes() - bytes) / made;
+  const auto made = static_cast<double>(test.simulatedAgents->reports() - reports);
+  const double bytesEach = static_cast<double>(test.simulatedAgents->bytes() - bytes) / made;
   const double eachSecond = made * 1000.0 / static_cast<double>(MeasuredMs);
   cr_assert_gt(eachSecond, 100.0, "the agents have stopped reporting");
   cr_assert_lt(eachSecond, 1300.0, "%.0f reports a second of the 1,000 that are wanted", eachSecond);
--- a/test/crowded_leader.cpp
+++ b/test/leader_load.cpp
@@ -1,7 +1,7 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// A leader with hundreds of agents and thousands of waiting tasks, on a part of a processor: deciding stops nothing.
+// A leader with hundreds of agents, thousands of waiting tasks and a share of a processor stays the leader.
 
 #include <algorithm>
 #include <csignal>
@@ -19,10 +19,11 @@
 constexpr std::int64_t MeasuredMs = 15000;
 
 /** \class ProcessorShare
- * \brief Lets a process run for a part of the time only.
+ * \brief Limits a process to a share of the processor time: stops it and lets it run in turn.
  */
 class ProcessorShare {
  public:
+  /** \param runMs time to run in each period, ms \param stopMs time to stand still in each period, ms */
   ProcessorShare(const Process& process, std::int64_t runMs, std::int64_t stopMs)
       : m_thread([this, &process, runMs, stopMs] {
           while (!m_done) {
@@ -56,12 +57,13 @@
 
 }  // namespace
 
-// With passes of 0.25 s and more the leader's heartbeats came too late, and it was replaced though nothing had hit it.
-Test(crowded_leader, hundreds_of_agents_and_thousands_of_waiting_tasks_end_no_leadership, .timeout = 120) {
+// Guards against long passes of the planner: with passes of 0.25 s and more the leader's heartbeats were late, and it
+// was replaced without a fault.
+Test(leader_load, a_leader_with_hundreds_of_agents_and_thousands_of_waiting_tasks_is_not_replaced, .timeout = 120) {
   WorkflowDeployment test(0);
   cr_assert_eq(test.configure(configuration(1)), 200);
   cr_assert(test.until(200, "GET", "/q/", "", "pending"));
-  AgentCrowd crowd(test.cluster(), Agents);
+  AgentCrowd simulatedAgents(test.cluster(), Agents);
   int refused = 0;
   for (int i = 0; i < Workflows; ++i) {
     const std::string body = i % 4 == 0 ? job(78, "6000") : gangJob(i % 4 == 1 ? 25 : 8, 4, 3000);
@@ -70,20 +72,20 @@
   cr_expect_eq(refused, 0, "%d submissions were refused", refused);
   const unsigned leader = test.leader();
   cr_assert_neq(leader, 0);
-  for (int i = 0; i < 100 && crowd.running() < Agents; ++i) pause(100);
-  cr_assert_geq(crowd.running(), Agents, "only %zu runs began", crowd.running());
-  crowd.forgetTerms();
-  crowd.takeDelays();
+  for (int i = 0; i < 100 && simulatedAgents.running() < Agents; ++i) pause(100);
+  cr_assert_geq(simulatedAgents.running(), Agents, "only %zu runs were started", simulatedAgents.running());
+  simulatedAgents.clearTerms();
+  simulatedAgents.consumeDelays();
   {
     const ProcessorShare share(test.process("control-" + std::to_string(leader)), 10, 10);
     pause(MeasuredMs);
   }
-  std::vector<double> delays = crowd.takeDelays();
+  std::vector<double> delays = simulatedAgents.consumeDelays();
   std::sort(delays.begin(), delays.end());
   cr_assert_gt(delays.size(), 0);
-  const std::set<std::uint64_t> terms = crowd.terms();
+  const std::set<std::uint64_t> terms = simulatedAgents.terms();
   std::printf("%zu reports, half within %.1f ms, 99 of 100 within %.1f ms; %zu runs began; %zu terms\n", delays.size(),
-              delays[delays.size() / 2], delays[delays.size() * 99 / 100], crowd.started(), terms.size());
-  cr_assert_eq(terms.size(), 1, "%zu leaders answered although nothing hit the first", terms.size());
+              delays[delays.size() / 2], delays[delays.size() * 99 / 100], simulatedAgents.started(), terms.size());
+  cr_assert_eq(terms.size(), 1, "%zu leaders answered although no fault was injected", terms.size());
   cr_assert_eq(test.leader(), leader);
 }
--- a/test/run_agent.cpp
+++ b/test/run_agent.cpp
@@ -1,11 +1,11 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// The agent of runs between a leader and a target that are both played by the test.
+// The agent of runs between a fake leader and a fake target.
 
 #include <set>
 
-#include "test/AgentStage.h"
+#include "test/AgentFixture.h"
 #include "test/main.h"
 
 using namespace courseloom;
@@ -13,11 +13,11 @@
 
 namespace {
 
-/** Orders one run, and looks at what the target was asked when the agent first reports an end. */
+/** Orders one run, and records how many stops the target had received when the agent first reported an end. */
 class RefusedLeader : public FakeLeader {
  public:
   Awaitable<Result<schema::AttendReply>> attend(schema::AttendRequest request) override {
-    schema::AttendReply answer = grantReply(LongGrantMs);
+    schema::AttendReply answer = leaseReply(LongLeaseMs);
     if (request.ends_size() > 0 && reports++ == 0) stopsBefore = target->stops;
     if (!orderOnce(request, answer)) co_await sleepFor(milliseconds(20));
     co_return answer;
@@ -26,11 +26,12 @@
   unsigned stopsBefore = 0;
 };
 
-/** Orders one run, as again after an agent's restart, and notes how the agent says that it ended. */
-class AgainLeader : public FakeLeader {
+/** Repeats the order for one run until an end is reported, as after a restart of the agent, and records the kinds of
+ * the reported ends. */
+class RepeatingLeader : public FakeLeader {
  public:
   Awaitable<Result<schema::AttendReply>> attend(schema::AttendRequest request) override {
-    schema::AttendReply answer = grantReply(LongGrantMs);
+    schema::AttendReply answer = leaseReply(LongLeaseMs);
     for (const schema::EndReport& end : request.ends()) kinds.insert(end.kind());
     if (request.target().id() == "i-1" && kinds.empty()) {
       schema::RunOrder* order = answer.add_orders();
@@ -45,40 +46,40 @@
   Duration answerAfter = milliseconds(20);
 };
 
-/** Orders one run in an answer that is on its way for longer than its grant; what is asked beside it is answered. */
+/** Orders one run in an answer that is delayed for longer than its lease. Other requests are answered without delay. */
 class DelayedLeader : public FakeLeader {
  public:
   Awaitable<Result<schema::AttendReply>> attend(schema::AttendRequest request) override {
     const bool delay = !delayed && request.wait_ms() > 0 && request.target().id() == "i-1";
     if (!delay) {
       co_await sleepFor(milliseconds(20));
-      co_return grantReply(LongGrantMs);
+      co_return leaseReply(LongLeaseMs);
     }
     delayed = true;
     co_await sleepFor(milliseconds(700));
-    schema::AttendReply stale = grantReply(300);
+    schema::AttendReply stale = leaseReply(300);
     *stale.add_orders() = startOrder();
     co_return stale;
   }
   bool delayed = false;
 };
 
-/** Takes reports as an idle leader does, and notes when the agent first tells of a run that stands still. */
-class WatchingLeader : public FakeLeader {
+/** Holds reports back as an idle leader does, and records the longest reported time without progress. */
+class ProgressLeader : public FakeLeader {
  public:
   Awaitable<Result<schema::AttendReply>> attend(schema::AttendRequest request) override {
     for (const schema::RunReport& row : request.running()) longestStillMs = std::max(longestStillMs, row.still_ms());
     if (request.wait_ms() > 0) co_await sleepFor(milliseconds(700));
-    co_return grantReply(LongGrantMs);
+    co_return leaseReply(LongLeaseMs);
   }
   std::uint32_t longestStillMs = 0;
 };
 
-/** Orders one run, and keeps what the agent says of runs that went away. */
+/** Orders one run, and records the lost runs that the agent reports. */
 class CrashLeader : public FakeLeader {
  public:
   Awaitable<Result<schema::AttendReply>> attend(schema::AttendRequest request) override {
-    schema::AttendReply answer = grantReply(LongGrantMs);
+    schema::AttendReply answer = leaseReply(LongLeaseMs);
     for (const schema::LostRun& row : request.lost()) lost.push_back(row);
     if (!orderOnce(request, answer)) co_await sleepFor(milliseconds(20));
     co_return answer;
@@ -86,11 +87,11 @@
   std::vector<schema::LostRun> lost;
 };
 
-/** Orders runs of four accelerators each, one after the other, once it is told to. */
-class RoomLeader : public FakeLeader {
+/** Orders runs that need four accelerators each, one in each answer, until `wanted` were ordered. */
+class CapacityLeader : public FakeLeader {
  public:
   Awaitable<Result<schema::AttendReply>> attend(schema::AttendRequest request) override {
-    schema::AttendReply answer = grantReply(LongGrantMs);
+    schema::AttendReply answer = leaseReply(LongLeaseMs);
     accelerators = request.target().capacity().accelerators();
     for (const schema::EndReport& end : request.ends()) kinds.insert(end.kind());
     if (ordered < wanted) {
@@ -108,106 +109,110 @@
   std::set<schema::RunEndKind> kinds;
 };
 
-/** \returns what an agent says of a run whose target goes away so long after its start. */
+/** \returns the agent's report of a run whose target is lost after a time. \param length time from the start to the
+ * loss
+ */
 schema::LostRun lostAfter(Duration length) {
   CrashLeader leader;
-  Stage stage(leader);
-  stage.target.refusesStarts = false;
-  for (int i = 0; i < 200 && stage.target.starts == 0; ++i) stage.run(milliseconds(5));
-  stage.run(length);
-  stage.target.silent = true;
-  stage.beginNextLife();
-  stage.run(milliseconds(600));
-  cr_assert(!leader.lost.empty(), "nothing was said of the run");
+  AgentFixture fixture(leader);
+  fixture.target.refusesStarts = false;
+  for (int i = 0; i < 200 && fixture.target.starts == 0; ++i) fixture.run(milliseconds(5));
+  fixture.run(length);
+  fixture.target.silent = true;
+  fixture.startNextIncarnation();
+  fixture.run(milliseconds(600));
+  cr_assert(!leader.lost.empty(), "the lost run was not reported");
   return leader.lost.front();
 }
 
 }  // namespace
 
-// Told only with the next report, a run on a hanging target stays there for 2 s, the time of two reports.
-Test(run_agent, a_run_that_stands_still_is_told_of_at_once) {
-  WatchingLeader leader;
-  Stage stage(leader);
-  stage.target.standsStill = true;
-  stage.run(milliseconds(1000));
-  cr_assert(leader.longestStillMs >= 600, "the leader was told of %u ms", leader.longestStillMs);
+// If the agent waited for its next regular report, a run would stay on a hanging target for 2 s, the time of two
+// reports.
+Test(run_agent, a_run_without_progress_is_reported_at_once) {
+  ProgressLeader leader;
+  AgentFixture fixture(leader);
+  fixture.target.reportsStalledRun = true;
+  fixture.run(milliseconds(1000));
+  cr_assert(leader.longestStillMs >= 600, "the longest reported time without progress is %u ms", leader.longestStillMs);
 }
 
-Test(run_agent, a_refused_start_is_void_at_the_target_before_it_is_reported) {
+Test(run_agent, a_refused_start_is_stopped_at_the_target_before_it_is_reported) {
   RefusedLeader leader;
-  Stage stage(leader);
-  stage.run(milliseconds(1500));
-  cr_assert_eq(stage.target.starts, 1);
+  AgentFixture fixture(leader);
+  fixture.run(milliseconds(1500));
+  cr_assert_eq(fixture.target.starts, 1);
   cr_assert(leader.reports > 0, "the refusal was not reported");
-  cr_assert(leader.stopsBefore > 0, "reported as never begun, while a copy of the order could still begin it");
+  cr_assert(leader.stopsBefore > 0, "reported as never started while a copy of the order could still start it");
 }
 
-Test(run_agent, an_order_is_carried_out_only_within_the_grant_that_came_with_it) {
+Test(run_agent, an_order_is_carried_out_only_within_the_lease_of_its_answer) {
   DelayedLeader leader;
-  Stage stage(leader);
-  stage.run(milliseconds(2000));
+  AgentFixture fixture(leader);
+  fixture.run(milliseconds(2000));
   cr_assert(leader.delayed);
-  cr_assert_eq(stage.target.starts, 0, "an order whose grant had run out was carried out");
+  cr_assert_eq(fixture.target.starts, 0, "an order whose lease had expired was carried out");
 }
 
-Test(run_agent, a_run_that_ended_under_a_former_agent_is_not_void_because_its_target_leaves) {
-  AgainLeader leader;
-  Stage stage(leader, true);
-  schema::EndReport& end = stage.target.ends.emplace_back();
+Test(run_agent, a_run_that_ended_under_a_former_agent_is_not_voided_when_its_target_drains) {
+  RepeatingLeader leader;
+  AgentFixture fixture(leader, true);
+  schema::EndReport& end = fixture.target.ends.emplace_back();
   end.set_number(1);
   *end.mutable_task() = startOrder().task();
   end.set_run(1);
   end.set_kind(schema::RunDone);
-  stage.run(milliseconds(1500));
-  cr_assert_eq(stage.target.starts, 0, "a leaving target gets no new work");
+  fixture.run(milliseconds(1500));
+  cr_assert_eq(fixture.target.starts, 0, "a draining target gets no new runs");
   cr_assert(leader.kinds.count(schema::RunDone) > 0, "its end was not reported");
-  cr_assert(leader.kinds.count(schema::RunVoided) == 0, "reported as never begun, and its end is listed");
+  cr_assert(leader.kinds.count(schema::RunVoided) == 0, "reported as never started although its end is listed");
 }
 
-Test(run_agent, a_restarted_agent_does_not_know_when_a_silent_targets_hold_ends) {
-  AgainLeader leader;
+Test(run_agent, a_restarted_agent_does_not_assume_the_end_of_a_silent_targets_hold) {
+  RepeatingLeader leader;
   leader.kind = schema::OrderStop;
-  leader.answerAfter = milliseconds(400);  // the target has been found silent by then
-  Stage stage(leader);
-  for (int i = 0; i < 100 && stage.target.looks == 0; ++i) stage.run(milliseconds(5));
-  cr_assert(stage.target.looks > 0, "the agent never looked");
-  stage.target.silent = true;
-  stage.run(milliseconds(1500));
-  cr_assert(stage.target.stops > 0, "the order to stop did not come");
-  cr_assert(leader.kinds.count(schema::RunLapsed) == 0, "its former life may have had the target hold its runs");
+  leader.answerAfter = milliseconds(400);  // by then the agent has found the target to be silent
+  AgentFixture fixture(leader);
+  for (int i = 0; i < 100 && fixture.target.polls == 0; ++i) fixture.run(milliseconds(5));
+  cr_assert(fixture.target.polls > 0, "the agent never polled the target");
+  fixture.target.silent = true;
+  fixture.run(milliseconds(1500));
+  cr_assert(fixture.target.stops > 0, "the order to stop did not arrive");
+  cr_assert(leader.kinds.count(schema::RunLapsed) == 0,
+            "the former incarnation of the agent may have made the target hold its runs");
 }
 
-Test(run_agent, a_target_that_goes_right_after_a_start_accuses_the_run) {
+Test(run_agent, a_target_lost_right_after_a_start_is_reported_as_a_crash_at_start) {
   const schema::LostRun lost = lostAfter(Duration(0));
   cr_assert_eq(lost.crash(), schema::CrashAtStart);
   cr_assert(lost.after_ms() < 500, "%u ms", lost.after_ms());
 }
 
-Test(run_agent, a_target_that_goes_a_while_after_a_start_accuses_nobody_clearly) {
+Test(run_agent, a_target_lost_a_while_after_a_start_is_reported_as_an_unclear_crash) {
   cr_assert_eq(lostAfter(milliseconds(900)).crash(), schema::CrashUnclear);
 }
 
-// A target that does not guard its room would start whatever it is told.
-Test(run_agent, a_start_that_a_shrunk_room_cannot_hold_is_not_sent) {
-  RoomLeader leader;
-  Stage stage(leader);
-  stage.target.refusesStarts = false;
-  stage.run(milliseconds(200));
-  stage.resize(2, 8);
-  stage.run(milliseconds(200));
+// A target that does not check its free capacity would start every ordered run.
+Test(run_agent, a_start_that_exceeds_a_reduced_capacity_is_not_sent) {
+  CapacityLeader leader;
+  AgentFixture fixture(leader);
+  fixture.target.refusesStarts = false;
+  fixture.run(milliseconds(200));
+  fixture.resize(2, 8);
+  fixture.run(milliseconds(200));
   cr_assert_eq(leader.accelerators, 8);
   leader.wanted = 1;
-  stage.run(milliseconds(300));
-  cr_assert_eq(stage.target.starts, 1);
-  stage.resize(3, 6);
+  fixture.run(milliseconds(300));
+  cr_assert_eq(fixture.target.starts, 1);
+  fixture.resize(3, 6);
   leader.wanted = 2;
-  stage.run(milliseconds(400));
-  cr_assert_eq(stage.target.starts, 1, "the second run does not fit beside the first");
-  cr_assert(leader.kinds.count(schema::RunVoided) > 0, "the leader was not told");
+  fixture.run(milliseconds(400));
+  cr_assert_eq(fixture.target.starts, 1, "the second run does not fit beside the first");
+  cr_assert(leader.kinds.count(schema::RunVoided) > 0, "the refusal was not reported to the leader");
   cr_assert_eq(leader.accelerators, 6);
-  stage.resize(4, 8);
-  stage.run(milliseconds(100));
+  fixture.resize(4, 8);
+  fixture.run(milliseconds(100));
   leader.wanted = 3;
-  stage.run(milliseconds(300));
-  cr_assert_eq(stage.target.starts, 2);
+  fixture.run(milliseconds(300));
+  cr_assert_eq(fixture.target.starts, 2);
 }
--- a/test/run_ledger.cpp
+++ b/test/run_ledger.cpp
@@ -1,7 +1,7 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// The leader's account of runs, one case at a time.
+// Single cases of the leader's run ledger and of the health records of targets.
 
 #include "Courseloom/src/Scheduling/RunLedger.h"
 
@@ -12,12 +12,12 @@
 
 namespace {
 
-/** \class LedgerTable
- * \brief A table with one workflow, its ledger and a clock.
+/** \class LedgerFixture
+ * \brief A table with one workflow of one step, its ledger, a clock and the reports of the agent "agent".
  */
-class LedgerTable {
+class LedgerFixture {
  public:
-  explicit LedgerTable(unsigned count = 1, bool gang = false) {
+  explicit LedgerFixture(unsigned count = 1, bool gang = false) {
     schema::Workflow workflow;
     workflow.set_id("w");
     workflow.set_max_attempts(3);
@@ -28,6 +28,7 @@
     ledger.lead(table, now);
   }
 
+  /** Commits the start of a run of task `index` on a target of the agent. */
   void start(std::uint32_t index, std::uint32_t run, const std::string& target = "life-1") {
     schema::RecordRuns runs;
     schema::RunStart* row = runs.add_starts();
@@ -46,27 +47,30 @@
     for (schema::RunEnd& end : ends) *runs.add_ends() = std::move(end);
     commit(runs);
   }
-  schema::AttendRequest report(const std::string& life = "life-1") const {
+  /** \returns a report of the agent. \param target name of the target's incarnation; empty while the agent knows none
+   */
+  schema::AttendRequest report(const std::string& target = "life-1") const {
     schema::AttendRequest request;
     request.set_agent("agent");
     request.set_incarnation(incarnation);
-    request.mutable_target()->set_id(life);
+    request.mutable_target()->set_id(target);
     request.mutable_target()->set_reachable(true);
     return request;
   }
+  /** Applies a report, commits the ends that follow from it and renews the lease. \returns the orders for the agent */
   std::vector<schema::RunOrder> attend(const schema::AttendRequest& request) {
     commitEnds(ledger.receiveReport(request, now));
     std::vector<schema::RunOrder> orders = ledger.issueOrders("agent", table, now);
-    grantedUntil = std::max(grantedUntil, now + ledger.grant("agent", now));
+    leaseUntil = std::max(leaseUntil, now + ledger.grant("agent", now));
     return orders;
   }
-  void pass(std::int64_t ms) { now += milliseconds(ms); }
+  void advance(std::int64_t ms) { now += milliseconds(ms); }
 
   WorkflowTable table;
   RunLedger ledger;
   Time now = Time(milliseconds(1000000));
-  Time grantedUntil{};  ///< as far as the agent may have a target hold its runs
-  std::uint64_t incarnation = 1;
+  Time leaseUntil{};              ///< end of the latest lease under which the agent may have a target hold its runs
+  std::uint64_t incarnation = 1;  ///< of the agent
 };
 
 schema::AttendRequest withRunning(schema::AttendRequest request, std::uint32_t index, std::uint32_t run,
@@ -91,8 +95,8 @@
 
 }  // namespace
 
-Test(run_ledger, a_start_is_ordered_once_and_again_after_a_while) {
-  LedgerTable test;
+Test(run_ledger, an_unconfirmed_start_order_is_retried_after_a_while) {
+  LedgerFixture test;
   cr_assert(test.attend(test.report()).empty());
   test.start(0, 1);
   const std::vector<schema::RunOrder> orders = test.attend(test.report());
@@ -100,16 +104,17 @@
   cr_assert_eq(orders[0].kind(), schema::OrderStart);
   cr_assert(orders[0].target() == "life-1");
   cr_assert(test.attend(test.report()).empty());
-  test.pass(2000);
-  cr_assert_eq(test.attend(test.report()).size(), 1, "its answer may have been lost");
+  test.advance(2000);
+  cr_assert_eq(test.attend(test.report()).size(), 1, "the answer with the order may have been lost");
   cr_assert(test.attend(withRunning(test.report(), 0, 1)).empty());
-  test.pass(2000);
-  cr_assert(test.attend(test.report()).empty(), "it is known to run");
+  test.advance(2000);
+  cr_assert(test.attend(test.report()).empty(), "the run is known to be running");
 }
 
-// An agent drops orders for a target that it does not know; counted as delivered, they would wait to be given again.
+// An agent drops orders for a target that it does not know. If the ledger counted them as delivered, they would be
+// delayed until the retry interval had passed.
 Test(run_ledger, orders_wait_until_the_agent_reports_the_target_that_they_are_for) {
-  LedgerTable test(2);
+  LedgerFixture test(2);
   test.attend(withRunning(test.report(), 1, 1));
   test.start(0, 1);
   test.start(1, 1);
@@ -128,8 +133,8 @@
   cr_assert_eq(stops[0].kind(), schema::OrderStop);
 }
 
-Test(run_ledger, a_restarted_agent_is_told_again) {
-  LedgerTable test;
+Test(run_ledger, orders_are_sent_again_to_a_restarted_agent) {
+  LedgerFixture test;
   test.start(0, 1);
   test.attend(withRunning(test.report(), 0, 1));
   test.incarnation = 2;
@@ -138,111 +143,112 @@
   cr_assert(test.attend(withRunning(test.report(), 0, 1)).empty());
 }
 
-Test(run_ledger, another_life_of_the_target_ends_its_runs) {
-  LedgerTable test;
+Test(run_ledger, a_new_incarnation_of_the_target_ends_the_runs_of_the_former_one) {
+  LedgerFixture test;
   test.start(0, 1);
   test.attend(withRunning(test.report(), 0, 1));
   test.attend(test.report("life-2"));
   cr_assert(test.ledger.runs().empty());
-  cr_assert(test.table.find("w")->checkpointOf({0, 0, 0}) == "saved", "what was saved is not lost with the target");
+  cr_assert(test.table.find("w")->checkpointOf({0, 0, 0}) == "saved", "the checkpoint is not lost with the target");
 }
 
-Test(run_ledger, a_report_without_target_ends_nothing_at_once) {
-  LedgerTable test;
+Test(run_ledger, a_report_without_a_target_ends_runs_only_after_the_lease) {
+  LedgerFixture test;
   test.start(0, 1);
   test.attend(withRunning(test.report(), 0, 1));
   test.attend(test.report(""));
   cr_assert_eq(test.ledger.runs().size(), 1);
   for (int i = 0; i < 70; ++i) {
-    test.pass(100);
+    test.advance(100);
     test.attend(test.report(""));
   }
-  cr_assert_eq(test.ledger.expire(test.now).size(), 1, "nobody can have held it for so long");
+  cr_assert_eq(test.ledger.expire(test.now).size(), 1, "no agent can have held the run for so long");
 }
 
-// An agent may find its target between two reports, have it hold its runs, and be cut off before the next one.
-Test(run_ledger, runs_are_not_over_while_an_agent_that_reported_no_target_may_hold_them) {
-  LedgerTable test;
+// An agent may find its target between two reports, make it hold its runs, and be disconnected before the next report.
+Test(run_ledger, runs_do_not_expire_while_an_agent_that_reported_no_target_may_hold_them) {
+  LedgerFixture test;
   test.start(0, 1);
   test.attend(withRunning(test.report(), 0, 1));
   test.incarnation = 2;
   for (int i = 0; i < 80; ++i) {
-    test.pass(100);
+    test.advance(100);
     if (i < 55) test.attend(test.report(""));
-    if (test.now < test.grantedUntil) cr_assert(test.ledger.expire(test.now).empty(), "after %d00 ms", i + 1);
+    if (test.now < test.leaseUntil) cr_assert(test.ledger.expire(test.now).empty(), "after %d00 ms", i + 1);
   }
 }
 
-Test(run_ledger, runs_are_not_over_while_an_agent_that_has_died_since_may_hold_them) {
-  LedgerTable test;
+Test(run_ledger, runs_do_not_expire_while_a_former_incarnation_of_the_agent_may_have_them_held) {
+  LedgerFixture test;
   test.start(0, 1);
   test.attend(withRunning(test.report(), 0, 1));
   for (int i = 0; i < 80; ++i) {
-    test.pass(100);
+    test.advance(100);
     test.incarnation = i < 50 ? 2 : 3;
     if (i % 50 == 0 || i == 49) test.attend(test.report(""));
-    if (test.now < test.grantedUntil) cr_assert(test.ledger.expire(test.now).empty(), "after %d00 ms", i + 1);
+    if (test.now < test.leaseUntil) cr_assert(test.ledger.expire(test.now).empty(), "after %d00 ms", i + 1);
   }
 }
 
-Test(run_ledger, a_grant_outlasts_the_outage_that_the_settings_name) {
+Test(run_ledger, a_lease_is_longer_than_the_configured_outage) {
   schema::ControlSettings settings;
   settings.set_run_grant_ms(5500);
   cr_assert(leaseLength(settings) == milliseconds(5500));
   settings.set_outage_s(12);
   cr_assert(leaseLength(settings) == milliseconds(14000),
-            "runs go on while nobody leads, and until somebody does again");
+            "runs have to continue during an outage of the leader and until the next one is elected");
   settings.set_run_grant_ms(20000);
-  cr_assert(leaseLength(settings) == milliseconds(20000), "never shorter than asked for");
+  cr_assert(leaseLength(settings) == milliseconds(20000), "the lease is never shorter than configured");
 }
 
-Test(run_ledger, an_agent_that_was_not_heard_lately_gets_nothing_new_although_its_grant_is_long) {
-  LedgerTable test;
+Test(run_ledger, a_silent_agent_gets_no_new_runs_although_its_lease_is_still_valid) {
+  LedgerFixture test;
   test.attend(test.report());
   cr_assert(test.ledger.open("agent", test.now));
-  test.pass(2600);
+  test.advance(2600);
   cr_assert_not(test.ledger.open("agent", test.now));
 }
 
-// A gang whose member is ordered to an agent that has just been cut off stands still for a whole grant.
-Test(run_ledger, an_agent_that_was_asked_for_a_sign_of_life_gets_nothing_until_it_gives_one) {
-  LedgerTable test;
+// If a member of a gang is ordered to an agent that has just been disconnected, the gang stands still for a whole
+// lease.
+Test(run_ledger, an_agent_that_does_not_answer_a_request_for_a_report_gets_no_new_runs) {
+  LedgerFixture test;
   test.attend(test.report());
   cr_assert(test.ledger.fresh("agent", test.now));
-  test.pass(200);
+  test.advance(200);
   cr_assert_not(test.ledger.fresh("agent", test.now));
   test.ledger.requestReport("agent", test.now);
   cr_assert(test.ledger.reportRequested("agent"));
-  test.pass(100);
+  test.advance(100);
   test.ledger.requestReport("agent", test.now);
   cr_assert(test.ledger.open("agent", test.now), "its answer may be on its way");
-  test.pass(100);
-  cr_assert_not(test.ledger.open("agent", test.now), "asking again does not give it more time");
+  test.advance(100);
+  cr_assert_not(test.ledger.open("agent", test.now), "a second request does not extend the time limit");
   test.attend(test.report());
   cr_assert_not(test.ledger.reportRequested("agent"));
   cr_assert(test.ledger.open("agent", test.now));
   cr_assert(test.ledger.fresh("agent", test.now));
 }
 
-// Runs on a target that is only cut off must not be moved for standing still.
-Test(run_ledger, a_report_that_was_long_on_its_way_tells_of_the_past) {
-  LedgerTable test;
+// Runs on a target that was only disconnected must not be moved because of missing progress.
+Test(run_ledger, progress_in_a_delayed_report_counts_from_the_time_of_its_observation) {
+  LedgerFixture test;
   test.start(0, 1);
   test.attend(withRunning(test.report(), 0, 1, 10));
   const RunKey key{"w", {0, 0, 0}, 1};
   const Time first = test.now;
-  test.pass(3000);
+  test.advance(3000);
   schema::AttendRequest old = withRunning(test.report(), 0, 1, 10);
   old.set_running_age_ms(2900);
   test.attend(old);
   const RunTrack& track = test.ledger.runs().at(key);
   cr_assert(track.percentChanged == first);
-  cr_assert(track.seen == first + milliseconds(100), "for all that is known, it stood still for 100 ms");
+  cr_assert(track.seen == first + milliseconds(100), "the run is known to have made no progress for 100 ms only");
 }
 
-// A report that was sent before this leader was elected may be older than what the log says.
-Test(run_ledger, only_an_agent_that_this_leader_has_answered_ends_runs_of_another_life) {
-  LedgerTable test;
+// A report that was sent before this leader was elected may be older than the state in the log.
+Test(run_ledger, only_an_agent_that_this_leader_has_answered_ends_runs_of_another_incarnation) {
+  LedgerFixture test;
   test.ledger.lead(test.table, test.now, 2);
   test.start(0, 1, "life-2");
   test.attend(test.report("life-1"));
@@ -253,30 +259,31 @@
   cr_assert(test.ledger.runs().empty());
 }
 
-// Reports of one agent come on several connections and through relays, so that one may be overtaken.
-Test(run_ledger, a_report_that_was_overtaken_is_known) {
-  LedgerTable test;
+// The reports of an agent arrive over several connections and through relays, so that a newer one may arrive first.
+Test(run_ledger, an_overtaken_report_is_recognised) {
+  LedgerFixture test;
   schema::AttendRequest first = test.report("life-1");
   first.set_sequence(1);
   schema::AttendRequest second = test.report("life-2");
   second.set_sequence(2);
   cr_assert_not(test.ledger.isOvertaken(first));
   test.attend(second);
-  cr_assert(test.ledger.isOvertaken(first), "it would end every run of the new life");
+  cr_assert(test.ledger.isOvertaken(first), "the report would end every run of the new incarnation");
   test.incarnation = 2;
   schema::AttendRequest restarted = test.report("life-2");
   restarted.set_sequence(1);
   cr_assert_not(test.ledger.isOvertaken(restarted));
   test.attend(restarted);
   second.set_sequence(3);
-  cr_assert(test.ledger.isOvertaken(second), "of a former life of the agent");
+  cr_assert(test.ledger.isOvertaken(second), "the report is of a former incarnation of the agent");
 }
 
-// A new leader knows no incarnation of any agent yet, and the first report that it gets may be of long ago.
-Test(run_ledger, a_late_report_of_a_former_agent_does_not_shut_the_present_one_out) {
-  LedgerTable test;
+// A new leader knows no incarnation of any agent yet, and the first report that it receives may have been delayed for
+// long.
+Test(run_ledger, a_late_report_of_a_former_agent_does_not_block_the_present_one) {
+  LedgerFixture test;
   test.ledger.lead(test.table, test.now, 2);
-  const auto hear = [&test](std::uint64_t incarnation, std::uint64_t term, std::uint64_t sequence) {
+  const auto receive = [&test](std::uint64_t incarnation, std::uint64_t term, std::uint64_t sequence) {
     test.incarnation = incarnation;
     schema::AttendRequest report = test.report();
     report.set_term(term);
@@ -285,20 +292,20 @@
     test.attend(report);
     return true;
   };
-  cr_assert(hear(22, 1, 1));
-  hear(11, 1, 90);
-  cr_assert(hear(22, 2, 2), "it has had this leader's answer");
-  cr_assert(hear(22, 2, 3));
+  cr_assert(receive(22, 1, 1));
+  receive(11, 1, 90);
+  cr_assert(receive(22, 2, 2), "this leader has answered the agent");
+  cr_assert(receive(22, 2, 3));
   cr_assert_eq(test.ledger.targets().at("agent").incarnation, 22);
-  cr_assert(hear(33, 0, 1), "a restarted agent knows of no leader");
-  cr_assert(hear(33, 2, 2));
-  cr_assert_not(hear(22, 2, 4), "it was answered, but before the present one began");
-  cr_assert(hear(33, 2, 3));
+  cr_assert(receive(33, 0, 1), "a restarted agent knows no leader");
+  cr_assert(receive(33, 2, 2));
+  cr_assert_not(receive(22, 2, 4), "this incarnation was answered, but before the present one started");
+  cr_assert(receive(33, 2, 3));
   cr_assert_eq(test.ledger.targets().at("agent").incarnation, 33);
 }
 
-Test(run_ledger, an_answered_agent_that_another_one_followed_is_overtaken_although_its_report_comes_last) {
-  LedgerTable test;
+Test(run_ledger, a_report_of_a_replaced_agent_is_overtaken_although_it_arrives_last) {
+  LedgerFixture test;
   test.ledger.lead(test.table, test.now, 2);
   schema::AttendRequest former = test.report();
   test.attend(former);
@@ -314,24 +321,24 @@
   cr_assert_not(test.ledger.isOvertaken(present));
 }
 
-// An agent that has died since may have taken a run for lapsed that its successor was ordered to start.
+// An agent that has terminated since may have counted a run as lapsed which its successor was ordered to start.
 Test(run_ledger, only_an_agent_that_this_leader_has_answered_ends_runs) {
-  LedgerTable test;
+  LedgerFixture test;
   test.ledger.lead(test.table, test.now, 2);
   test.start(0, 1);
   schema::AttendRequest report = withEnd(test.report(), 0, 1, schema::RunLapsed);
   report.set_term(1);
   test.attend(report);
   cr_assert_eq(test.ledger.runs().size(), 1);
-  cr_assert_not(test.ledger.open("agent", test.now), "nor is it known that the agent is still there");
+  cr_assert_not(test.ledger.open("agent", test.now), "the agent is not known to be still running");
   report.set_term(2);
   test.attend(report);
   cr_assert(test.ledger.runs().empty());
 }
 
-Test(run_ledger, relays_are_agents_that_were_heard_lately_and_directly) {
-  LedgerTable test;
-  const auto hear = [&test](const std::string& agent, std::uint32_t relay, const std::string& hall, bool relayed) {
+Test(run_ledger, relays_are_agents_with_recent_and_direct_contact) {
+  LedgerFixture test;
+  const auto receive = [&test](const std::string& agent, std::uint32_t relay, const std::string& hall, bool relayed) {
     schema::AttendRequest report = test.report();
     report.set_agent(agent);
     report.set_relay(relay);
@@ -339,21 +346,21 @@
     report.mutable_target()->set_data_hall(hall);
     test.ledger.receiveReport(report, test.now);
   };
-  hear("a", 1, "hall-1", false);
-  hear("b", 2, "hall-1", false);
-  hear("c", 3, "hall-2", false);
-  hear("d", 4, "hall-3", true);
-  hear("e", 0, "hall-3", false);
+  receive("a", 1, "hall-1", false);
+  receive("b", 2, "hall-1", false);
+  receive("c", 3, "hall-2", false);
+  receive("d", 4, "hall-3", true);
+  receive("e", 0, "hall-3", false);
   std::map<std::uint32_t, std::string> halls;
   for (const RelayAgent& relay : test.ledger.relays(test.now)) halls[relay.number] = relay.dataHall;
   cr_assert(halls == (std::map<std::uint32_t, std::string>({{1, "hall-1"}, {2, "hall-1"}, {3, "hall-2"}})));
-  test.pass(3000);
+  test.advance(3000);
   cr_assert(test.ledger.relays(test.now).empty());
 }
 
-// With full grants a gang waits 17 s for a member whose target and agent have left for good.
-Test(run_ledger, an_agent_whose_target_leaves_gets_shorter_grants) {
-  LedgerTable test;
+// With leases of full length a gang waits 17 s for a member whose target and agent have been shut down.
+Test(run_ledger, an_agent_with_a_draining_target_gets_shorter_leases) {
+  LedgerFixture test;
   RunLedgerOptions options;
   options.grant = milliseconds(14000);
   test.ledger = RunLedger(options);
@@ -362,40 +369,40 @@
   schema::AttendRequest leaving = withRunning(test.report(), 0, 1);
   leaving.mutable_target()->set_draining(true);
   test.attend(leaving);
-  // What a former leader granted may be longer.
-  test.pass(14200);
+  // A lease granted by a former leader may be longer.
+  test.advance(14200);
   cr_assert(test.ledger.expire(test.now).empty());
   test.attend(leaving);
-  test.pass(5700);
+  test.advance(5700);
   cr_assert(test.ledger.expire(test.now).empty());
-  test.pass(200);
+  test.advance(200);
   cr_assert_eq(test.ledger.expire(test.now).size(), 1);
 }
 
-Test(run_ledger, a_silent_agents_runs_lapse_only_after_its_grant) {
-  LedgerTable test;
+Test(run_ledger, runs_of_a_silent_agent_expire_only_after_its_lease) {
+  LedgerFixture test;
   test.start(0, 1);
   test.attend(test.report());
-  test.pass(5500);
+  test.advance(5500);
   cr_assert(test.ledger.expire(test.now).empty());
-  test.pass(400);
+  test.advance(400);
   cr_assert_eq(test.ledger.expire(test.now).size(), 1);
 }
 
-Test(run_ledger, a_new_leader_counts_on_the_grants_of_the_former_one) {
-  LedgerTable test;
+Test(run_ledger, a_new_leader_assumes_leases_of_the_former_one) {
+  LedgerFixture test;
   test.start(0, 1);
-  test.pass(60000);
+  test.advance(60000);
   test.ledger.lead(test.table, test.now);
   cr_assert(test.ledger.expire(test.now).empty());
-  test.pass(5400);
+  test.advance(5400);
   cr_assert(test.ledger.expire(test.now).empty());
-  test.pass(500);
+  test.advance(500);
   cr_assert_eq(test.ledger.expire(test.now).size(), 1);
 }
 
-Test(run_ledger, what_nobody_knows_is_stopped) {
-  LedgerTable test;
+Test(run_ledger, an_unknown_run_is_stopped) {
+  LedgerFixture test;
   const std::vector<schema::RunOrder> orders = test.attend(withRunning(test.report(), 0, 9));
   cr_assert_eq(orders.size(), 1);
   cr_assert_eq(orders[0].kind(), schema::OrderStop);
@@ -403,7 +410,7 @@
 }
 
 Test(run_ledger, runs_of_a_cancelled_workflow_are_stopped) {
-  LedgerTable test;
+  LedgerFixture test;
   test.start(0, 1);
   test.attend(withRunning(test.report(), 0, 1));
   test.table.cancel("w", 5);
@@ -415,54 +422,55 @@
   cr_assert(test.table.open().empty());
 }
 
-Test(run_ledger, an_end_counts_only_from_the_target_that_was_meant) {
-  LedgerTable test;
+Test(run_ledger, an_end_counts_only_from_the_target_of_the_run) {
+  LedgerFixture test;
   test.start(0, 1);
   test.attend(withEnd(test.report(""), 0, 1, schema::RunDone));
   cr_assert_eq(test.ledger.runs().size(), 1);
   test.attend(withEnd(test.report(), 0, 1, schema::RunDone));
   cr_assert_eq(test.table.find("w")->record.phase(), schema::WorkflowCompleted);
-  cr_assert(test.attend(withEnd(test.report(), 0, 1, schema::RunDone)).empty(), "the same end may come twice");
+  cr_assert(test.attend(withEnd(test.report(), 0, 1, schema::RunDone)).empty(), "the same end may be reported twice");
 }
 
-Test(run_ledger, what_ran_in_a_former_life_under_the_same_identity_is_lost_with_it) {
-  LedgerTable test;
+Test(run_ledger, runs_of_a_former_incarnation_with_the_same_identity_end_with_it) {
+  LedgerFixture test;
   test.start(0, 1, "i-1@1000");
   test.attend(withRunning(test.report("i-1@1000"), 0, 1));
   test.attend(test.report("i-1@2000"));
   cr_assert(test.ledger.runs().empty());
 }
 
-// The target began again between the order and its start: the run is where the leader meant it to be, but in a life
-// that was not meant. It is over only once that life has ended it.
-Test(run_ledger, a_run_that_a_later_life_began_is_stopped_there_before_it_is_over) {
-  LedgerTable test;
+// The target restarted between the order and the start: the run is on the intended target, but in another incarnation
+// of it. The run is over only once that incarnation has ended it.
+Test(run_ledger, a_run_started_by_a_later_incarnation_is_over_only_after_it_ended_there) {
+  LedgerFixture test;
   test.start(0, 1, "i-1@1000");
   test.attend(test.report("i-1@1000"));
   const std::vector<schema::RunOrder> orders = test.attend(withRunning(test.report("i-1@2000"), 0, 1));
-  cr_assert_eq(test.ledger.runs().size(), 1, "called over while it runs");
+  cr_assert_eq(test.ledger.runs().size(), 1, "counted as over while it runs");
   cr_assert_eq(orders.size(), 1);
   cr_assert_eq(orders[0].kind(), schema::OrderStop);
   cr_assert(orders[0].target() == "i-1@2000");
   test.attend(withEnd(test.report("i-1@2000"), 0, 1, schema::RunDone));
-  cr_assert_eq(test.table.find("w")->record.phase(), schema::WorkflowCompleted, "it was done before the stop came");
+  cr_assert_eq(test.table.find("w")->record.phase(), schema::WorkflowCompleted,
+               "the run was done before the stop order arrived");
 }
 
-Test(run_ledger, another_identity_cannot_have_begun_what_was_meant_for_this_one) {
-  LedgerTable test;
+Test(run_ledger, a_target_with_another_identity_cannot_have_started_the_run) {
+  LedgerFixture test;
   test.start(0, 1, "i-1@1000");
   test.attend(withRunning(test.report("i-2@2000"), 0, 1));
   cr_assert(test.ledger.runs().empty());
 }
 
-Test(run_ledger, other_members_of_a_gang_that_is_done_get_time_to_end) {
-  LedgerTable test(2, true);
+Test(run_ledger, the_other_members_of_a_finished_gang_get_time_to_end) {
+  LedgerFixture test(2, true);
   test.start(0, 1);
   test.start(1, 1);
   test.attend(withRunning(withRunning(test.report(), 0, 1), 1, 1));
   cr_assert(test.attend(withEnd(test.report(), 0, 1, schema::RunDone)).empty());
-  test.pass(800);
-  cr_assert_eq(test.attend(test.report()).size(), 1, "what is still there is stopped");
+  test.advance(800);
+  cr_assert_eq(test.attend(test.report()).size(), 1, "a member that is still running is stopped");
 }
 
 Test(run_ledger, targets_that_fail_several_workflows_are_suspect) {
@@ -474,29 +482,30 @@
   health.ended("t", "w2", schema::RunFailed, now);
   cr_assert(health.suspect("t", now));
   cr_assert_not(health.suspect("t", now + milliseconds(5000)));
-  cr_assert(health.onProbation("t", now + milliseconds(5000)), "it has not shown yet that it works");
+  cr_assert(health.onProbation("t", now + milliseconds(5000)), "no run has succeeded there yet");
   health.stalled("t", now);
   health.ended("t", "w3", schema::RunDone, now);
-  cr_assert_not(health.suspect("t", now), "what is done there speaks for it");
+  cr_assert_not(health.suspect("t", now), "a run that is done there clears the target");
   cr_assert_not(health.onProbation("t", now));
   health.ended("t", "w4", schema::RunVoided, now);
   cr_assert(health.paused("t", now));
 }
 
-// A gang that needed several places of a target on probation waited for good, since no other work came to be tried
-// there.
-Test(run_ledger, a_target_to_which_nothing_comes_is_on_probation_for_a_while_only) {
+// Guards against an unlimited probation: a gang that needed several places of a target on probation waited forever,
+// since no other task arrived for a trial start there.
+Test(run_ledger, probation_of_a_target_without_runs_is_limited) {
   TargetHealth health;
   health.stalled("t", Time(milliseconds(0)));
   const Time afterSuspicion = Time(TargetHealthOptions().firstSuspicion);
   cr_assert(health.onProbation("t", afterSuspicion));
-  cr_assert(health.onProbation("t", afterSuspicion + milliseconds(10000)), "longer than most tasks run");
+  cr_assert(health.onProbation("t", afterSuspicion + milliseconds(10000)),
+            "probation lasts longer than most tasks run");
   cr_assert_not(health.onProbation("t", afterSuspicion + milliseconds(30000)));
   health.stalled("t", afterSuspicion + milliseconds(30000));
-  cr_assert(health.suspect("t", afterSuspicion + milliseconds(37000)), "a second suspicion lasts longer all the same");
+  cr_assert(health.suspect("t", afterSuspicion + milliseconds(37000)), "a second suspicion nevertheless lasts longer");
 }
 
-Test(run_ledger, a_target_is_doubted_from_a_failure_until_something_is_done_there) {
+Test(run_ledger, a_target_is_doubted_from_a_failure_until_a_run_is_done_there) {
   TargetHealth health;
   const Time now{milliseconds(1000)};
   health.ended("t1", "w1", schema::RunFailed, now);
@@ -504,25 +513,26 @@
   cr_assert((health.doubted(now) == std::set<std::string>{"t1", "t2"}));
   health.ended("t1", "w2", schema::RunDone, now);
   cr_assert((health.doubted(now) == std::set<std::string>{"t2"}));
-  cr_assert(health.doubted(now + milliseconds(16000)).empty(), "it would be kept from work for good");
+  cr_assert(health.doubted(now + milliseconds(16000)).empty(),
+            "an unlimited doubt would keep the target without runs forever");
   for (const char* target : {"t3", "t4", "t5"}) health.ended(target, "w3", schema::RunFailed, now);
-  cr_assert((health.doubted(now) == std::set<std::string>{"t2"}), "w3 is at fault itself");
+  cr_assert((health.doubted(now) == std::set<std::string>{"t2"}), "the fault is in w3 itself");
 }
 
-// What is waited for beyond this is gone for good, as far as anybody can tell.
-Test(run_ledger, a_target_is_awaited_until_its_runs_would_be_over) {
-  LedgerTable test;
-  cr_assert_not(test.ledger.awaited("agent", test.now), "nothing is known of it");
+// A target that has not returned after this time is not expected to return.
+Test(run_ledger, a_target_is_awaited_until_its_runs_would_expire) {
+  LedgerFixture test;
+  cr_assert_not(test.ledger.awaited("agent", test.now), "the agent is unknown");
   schema::AttendRequest silent = test.report();
   silent.mutable_target()->set_reachable(false);
   test.attend(test.report());
-  test.pass(5000);
+  test.advance(5000);
   test.attend(silent);
   cr_assert_not(test.ledger.open("agent", test.now));
   cr_assert(test.ledger.awaited("agent", test.now));
-  test.pass(1000);
+  test.advance(1000);
   test.attend(silent);
-  cr_assert_not(test.ledger.awaited("agent", test.now), "its agent is there, the target is not");
+  cr_assert_not(test.ledger.awaited("agent", test.now), "the agent reports, but its target is unreachable");
   test.attend(test.report());
   cr_assert(test.ledger.awaited("agent", test.now));
   schema::AttendRequest leaving = test.report();
@@ -531,33 +541,33 @@
   cr_assert_not(test.ledger.awaited("agent", test.now));
 }
 
-Test(run_ledger, no_start_is_ordered_while_its_end_is_on_its_way_into_the_log) {
-  LedgerTable test;
+Test(run_ledger, no_start_is_ordered_while_the_end_of_the_run_is_being_committed) {
+  LedgerFixture test;
   test.attend(test.report());
   test.start(0, 1);
-  test.pass(6000);
+  test.advance(6000);
   cr_assert_eq(test.ledger.expire(test.now).size(), 1);
-  // The agent is heard again before the end is committed: the next run may begin elsewhere at any moment.
+  // The agent reports again before the end is committed: the next run may start elsewhere at any time.
   cr_assert(test.attend(test.report()).empty());
 }
 
-Test(run_ledger, work_that_fails_everywhere_casts_no_suspicion_on_targets) {
+Test(run_ledger, workflows_that_fail_on_all_targets_do_not_make_targets_suspect) {
   TargetHealth health;
   const Time now = Time(milliseconds(1000));
-  for (const char* poison : {"p1", "p2"}) {
-    for (const char* target : {"t1", "t2"}) health.ended(target, poison, schema::RunFailed, now);
+  for (const char* failingWorkflow : {"p1", "p2"}) {
+    for (const char* target : {"t1", "t2"}) health.ended(target, failingWorkflow, schema::RunFailed, now);
   }
   cr_assert(health.suspect("t1", now));
   cr_assert(health.tooManySuspect({"t1", "t2", "t3"}, now), "most targets cannot be at fault at once");
-  for (const char* poison : {"p1", "p2"}) health.ended("t3", poison, schema::RunFailed, now);
-  cr_assert_not(health.suspect("t1", now), "what failed on three targets is at fault itself");
+  for (const char* failingWorkflow : {"p1", "p2"}) health.ended("t3", failingWorkflow, schema::RunFailed, now);
+  cr_assert_not(health.suspect("t1", now), "a workflow that failed on three targets is at fault itself");
   cr_assert_not(health.onProbation("t1", now));
 }
 
-// A restarted agent has heard of no target, is granted all the same, and may find the target while an order is on its
-// way to it: the order then begins the run.
-Test(run_ledger, a_run_is_not_over_while_an_order_may_still_begin_it) {
-  LedgerTable test;
+// A restarted agent knows no target yet but gets a lease nevertheless. It may find the target while an order is in
+// transit; the order then starts the run.
+Test(run_ledger, a_run_does_not_expire_while_an_order_in_transit_may_start_it) {
+  LedgerFixture test;
   test.start(0, 1);
   test.attend(test.report());
   test.incarnation = 2;
@@ -566,43 +576,45 @@
     for (const schema::RunOrder& order : test.attend(test.report(""))) {
       if (order.kind() == schema::OrderStart) orderedAt = test.now;
     }
-    test.pass(100);
+    test.advance(100);
     if (test.ledger.expire(test.now).empty()) continue;
     cr_assert(orderedAt == Time{} || test.now > orderedAt + test.ledger.options().grant,
-              "over %lld ms after a start was ordered under a grant of %lld ms",
+              "expired %lld ms after a start was ordered under a lease of %lld ms",
               static_cast<long long>(toMilliseconds(test.now - orderedAt)),
               static_cast<long long>(toMilliseconds(test.ledger.options().grant)));
     return;
   }
 }
 
-// That a run lapsed is sure only as long as the agent that says so lives: the next one may have begun it since.
-Test(run_ledger, a_former_agents_word_that_a_run_lapsed_is_doubted_by_a_new_leader) {
-  LedgerTable test;
+// A lapsed run is certain not to be started again only while the reporting agent exists: the next incarnation of the
+// agent may have started the run since.
+Test(run_ledger, a_new_leader_rejects_the_report_of_a_former_agent_that_a_run_lapsed) {
+  LedgerFixture test;
   test.ledger.lead(test.table, test.now, 1);
   test.start(0, 1);
   schema::AttendRequest late = test.report();
   late.set_term(1);
   test.attend(late);
-  schema::EndReport* fate = late.add_ends();
-  *fate->mutable_task() = makeTaskId("w", {0, 0, 0});
-  fate->set_run(1);
-  fate->set_kind(schema::RunLapsed);
-  fate->set_reason("the target is silent");
-  late.set_sequence(1);  // stays on its way; the agent restarts
+  schema::EndReport* end = late.add_ends();
+  *end->mutable_task() = makeTaskId("w", {0, 0, 0});
+  end->set_run(1);
+  end->set_kind(schema::RunLapsed);
+  end->set_reason("the target is silent");
+  late.set_sequence(1);  // delayed in transit while the agent restarts
   test.incarnation = 2;
   schema::AttendRequest next = test.report();
   next.set_term(1);
-  cr_assert_eq(test.attend(next).size(), 1, "the next agent is ordered to begin the run, and does");
-  test.pass(1000);
+  cr_assert_eq(test.attend(next).size(), 1, "the restarted agent is ordered to start the run");
+  test.advance(1000);
   test.ledger.lead(test.table, test.now, 2);
   cr_assert_not(test.ledger.isOvertaken(late));
-  cr_assert(test.ledger.receiveReport(late, test.now).empty(), "the run goes on under the next agent");
+  cr_assert(test.ledger.receiveReport(late, test.now).empty(), "the run continues under the restarted agent");
 }
 
-// A new leader knows no former agents, so the late report of one looks like the word of a restarted agent.
+// A new leader does not know former incarnations of agents, so a late report of one looks like that of a restarted
+// agent.
 Test(run_ledger, a_late_report_of_a_former_agent_does_not_displace_the_present_one) {
-  LedgerTable test;
+  LedgerFixture test;
   test.ledger.lead(test.table, test.now, 2);
   schema::AttendRequest late = test.report();
   late.set_term(1);
@@ -619,7 +631,7 @@
 
 namespace {
 
-/** The agent's words on a run that went away with its target. */
+/** Adds what the agent observed of a run that was lost with its target. \param afterMs time from start to loss, ms */
 schema::AttendRequest withLost(schema::AttendRequest request, std::uint32_t run, schema::CrashKind kind,
                                std::uint32_t afterMs = 0) {
   schema::LostRun* row = request.add_lost();
@@ -632,8 +644,8 @@
 
 }  // namespace
 
-Test(run_ledger, a_run_that_goes_with_its_target_carries_what_its_agent_saw) {
-  LedgerTable test;
+Test(run_ledger, a_run_lost_with_its_target_records_the_crash_that_its_agent_observed) {
+  LedgerFixture test;
   test.attend(test.report());
   test.start(0, 1);
   test.attend(test.report());
@@ -645,17 +657,17 @@
   cr_assert(crashes[0].target() == "life-1");
 }
 
-Test(run_ledger, a_run_whose_start_was_never_ordered_is_not_accused) {
-  LedgerTable test;
+Test(run_ledger, a_task_whose_start_was_never_ordered_is_not_suspected) {
+  LedgerFixture test;
   test.attend(test.report());
   test.start(0, 1);
   test.attend(test.report("life-2"));
   cr_assert_eq(test.table.find("w")->suspectTasks, 0);
 }
 
-// An agent that was started anew knows nothing of the order that its former life carried out.
-Test(run_ledger, a_run_that_a_former_agent_began_is_accused_when_its_target_is_gone) {
-  LedgerTable test;
+// A restarted agent does not know the order that its former incarnation carried out.
+Test(run_ledger, a_task_started_by_a_former_agent_is_suspected_when_its_target_is_lost) {
+  LedgerFixture test;
   test.attend(test.report());
   test.start(0, 1);
   test.attend(test.report());
@@ -664,9 +676,9 @@
   cr_assert_eq(test.table.find("w")->suspectTasks, 1);
 }
 
-Test(run_ledger, a_run_that_a_former_leader_ordered_is_accused_unless_its_target_was_leaving) {
+Test(run_ledger, a_task_ordered_by_a_former_leader_is_suspected_unless_its_target_was_draining) {
   for (const bool leaving : {false, true}) {
-    LedgerTable test;
+    LedgerFixture test;
     test.attend(test.report());
     test.start(0, 1);
     test.ledger.lead(test.table, test.now);
@@ -678,10 +690,10 @@
   }
 }
 
-// A leader that was started with all other replicas begins before its predecessor's last starts are applied.
-Test(run_ledger, a_run_that_a_former_leader_ordered_is_accused_though_its_start_is_applied_late) {
+// After a restart of all replicas a leader begins before the last starts of its predecessor are applied.
+Test(run_ledger, a_task_ordered_by_a_former_leader_is_suspected_although_its_start_is_applied_late) {
   for (const bool inherited : {false, true}) {
-    LedgerTable test;
+    LedgerFixture test;
     test.attend(test.report());
     schema::RecordRuns runs;
     schema::RunStart* row = runs.add_starts();
@@ -696,10 +708,11 @@
   }
 }
 
-// Many targets go at one moment: what ran there for a while did not cause it, what had just been started may have.
-Test(run_ledger, targets_that_go_together_accuse_only_what_had_just_been_started) {
+// Many targets are lost at the same time: runs that had been there for a while did not cause the loss, but runs that
+// had just been started may have.
+Test(run_ledger, the_loss_of_many_targets_makes_only_just_started_tasks_suspect) {
   for (const schema::CrashKind kind : {schema::CrashUnclear, schema::CrashAtStart}) {
-    LedgerTable test;
+    LedgerFixture test;
     const auto others = [&](bool reachable) {
       for (const char* name : {"b", "c"}) {
         schema::AttendRequest report = test.report(std::string("life-") + name);
@@ -720,12 +733,13 @@
 
 namespace {
 
-/** A run that was there for a while is lost, in a fleet of many targets, with others that go at that moment.
- * \returns suspected tasks \param others so many targets go too \param sameWork they run another task of the workflow
- */
-unsigned accusedBeside(unsigned others, bool sameWork) {
+/** In a fleet of 100 targets and one more, a run that has been there for a while is lost with its target, together with
+ * other targets.
+ * \param others number of other targets lost at the same time \param sameWorkflow whether each of them runs another
+ * task of the workflow \returns number of suspected tasks */
+unsigned suspectsAfterLoss(unsigned others, bool sameWorkflow) {
   constexpr unsigned Fleet = 100;
-  LedgerTable test(1 + others);
+  LedgerFixture test(1 + others);
   const auto report = [&test](unsigned number, bool reachable) {
     schema::AttendRequest request = test.report("life-of-" + std::to_string(number));
     request.set_agent("other-" + std::to_string(number));
@@ -735,7 +749,7 @@
   test.attend(test.report());
   for (unsigned i = 1; i <= Fleet; ++i) report(i, true);
   test.start(0, 1);
-  for (unsigned i = 1; sameWork && i <= others; ++i) {
+  for (unsigned i = 1; sameWorkflow && i <= others; ++i) {
     schema::RecordRuns runs;
     schema::RunStart* row = runs.add_starts();
     *row->mutable_task() = makeTaskId("w", {0, 0, i});
@@ -746,28 +760,29 @@
   }
   test.attend(test.report());
   for (unsigned i = 1; i <= others; ++i) report(i, false);
-  test.pass(300);
+  test.advance(300);
   test.attend(withLost(test.report("life-2"), 1, schema::CrashUnclear, 900));
   return test.table.find("w")->suspectTasks;
 }
 
 }  // namespace
 
-// An eighth of a large fleet had to go at once before what ran there for a while was cleared of it.
-Test(run_ledger, a_few_targets_that_go_together_clear_what_ran_there_in_a_fleet_of_any_size) {
-  cr_assert_eq(accusedBeside(1, false), 1);
-  cr_assert_eq(accusedBeside(2, false), 0);
-  cr_assert_eq(accusedBeside(10, false), 0);
+// Guards against a limit relative to the size of the fleet: an eighth of a large fleet had to be lost at once before
+// longer runs were no longer suspected.
+Test(run_ledger, the_loss_of_a_few_targets_at_once_clears_longer_runs_in_a_fleet_of_any_size) {
+  cr_assert_eq(suspectsAfterLoss(1, false), 1);
+  cr_assert_eq(suspectsAfterLoss(2, false), 0);
+  cr_assert_eq(suspectsAfterLoss(10, false), 0);
 }
 
-// Each pass of the planner copied the names, labels and rooms of all targets.
-Test(run_ledger, descriptions_change_only_with_what_targets_say_of_themselves) {
-  LedgerTable test;
+// Guards against a planner that copies the names, labels and capacities of all targets in each advance.
+Test(run_ledger, descriptions_change_only_with_the_reported_descriptions_of_targets) {
+  LedgerFixture test;
   test.attend(test.report());
   test.start(0, 1);
   const std::uint64_t before = test.ledger.descriptions();
   for (std::uint32_t percent = 1; percent < 50; ++percent) {
-    test.pass(100);
+    test.advance(100);
     test.attend(withRunning(test.report(), 0, 1, percent));
   }
   test.ledger.requestReport("agent", test.now);
@@ -778,61 +793,63 @@
   cr_assert_neq(test.ledger.descriptions(), before);
   const std::uint64_t after = test.ledger.descriptions();
   test.ledger.requestReport("another", test.now);
-  cr_assert_neq(test.ledger.descriptions(), after, "a target that is not planned yet has come");
+  cr_assert_neq(test.ledger.descriptions(), after, "a target that the plan does not contain yet was added");
 }
 
-// Guarantees were said to exceed the room while 810 targets were still arriving after a cold start, though all of their
-// agents had been heard.
+// Guards against premature reports that guarantees exceed the total capacity: after a cold start, all agents had
+// reported, but 810 targets were still arriving.
 Test(run_ledger, targets_are_arriving_until_few_of_the_known_ones_are_new) {
-  LedgerTable test;
+  LedgerFixture test;
   for (unsigned i = 1; i <= 100; ++i) {
     schema::AttendRequest request = test.report("");
     request.set_agent("other-" + std::to_string(i));
     test.ledger.receiveReport(request, test.now);
   }
-  test.pass(3000);
-  const auto arrive = [&test](unsigned number) {
+  test.advance(3000);
+  const auto reportTarget = [&test](unsigned number) {
     schema::AttendRequest request = test.report("life-of-" + std::to_string(number));
     request.set_agent("other-" + std::to_string(number));
     test.ledger.receiveReport(request, test.now);
   };
   for (unsigned i = 1; i <= 100; ++i) {
-    arrive(i);
-    test.pass(40);
+    reportTarget(i);
+    test.advance(40);
   }
-  cr_assert(test.ledger.arriving(test.now), "62 of 100 came within the last 2.5 s");
-  test.pass(2600);
+  cr_assert(test.ledger.arriving(test.now), "62 of 100 targets arrived within the last 2.5 s");
+  test.advance(2600);
   cr_assert_not(test.ledger.arriving(test.now));
-  arrive(101);
-  cr_assert_not(test.ledger.arriving(test.now), "one new agent among a hundred");
+  reportTarget(101);
+  cr_assert_not(test.ledger.arriving(test.now), "there is one new target among a hundred");
 }
 
-Test(run_ledger, targets_that_ran_the_same_workflow_do_not_clear_it) { cr_assert_eq(accusedBeside(10, true), 1); }
+Test(run_ledger, lost_targets_that_ran_the_same_workflow_do_not_clear_it) {
+  cr_assert_eq(suspectsAfterLoss(10, true), 1);
+}
 
-Test(run_ledger, a_run_lives_once_it_was_seen_for_the_start_phase) {
-  LedgerTable test;
+Test(run_ledger, a_run_has_lived_once_it_was_seen_for_the_start_phase) {
+  LedgerFixture test;
   test.attend(test.report());
   test.start(0, 1);
   test.attend(withRunning(test.report(), 0, 1));
-  test.pass(1900);
+  test.advance(1900);
   test.attend(withRunning(test.report(), 0, 1));
   cr_assert_not(test.ledger.lived({"w", {0, 0, 0}, 1}, 1));
-  test.pass(200);
+  test.advance(200);
   test.attend(withRunning(test.report(), 0, 1));
   cr_assert(test.ledger.lived({"w", {0, 0, 0}, 1}, 1));
 }
 
-// A gang works once all are there: until then none of its members has shown anything.
-Test(run_ledger, a_member_lives_only_beside_the_others_of_its_gang) {
-  LedgerTable test(2, true);
+// A gang works only once all members are running; until then no member can show that it survives its start phase.
+Test(run_ledger, a_gang_member_has_lived_only_while_all_members_are_running) {
+  LedgerFixture test(2, true);
   test.attend(test.report());
   test.start(0, 1);
   test.start(1, 1);
   test.attend(withRunning(test.report(), 0, 1));
-  test.pass(3000);
+  test.advance(3000);
   test.attend(withRunning(withRunning(test.report(), 0, 1), 1, 1));
   cr_assert_not(test.ledger.lived({"w", {0, 0, 0}, 1}, 2));
-  test.pass(2000);
+  test.advance(2000);
   test.attend(withRunning(withRunning(test.report(), 0, 1), 1, 1));
   cr_assert(test.ledger.lived({"w", {0, 0, 0}, 1}, 2));
 }
--- a/test/short_reports.cpp
+++ b/test/short_reports.cpp
@@ -1,11 +1,12 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// Reports that leave out what the leader has, and how long it holds them back.
+// Short reports, which omit the target's description that the leader has, and the time for which the leader holds
+// reports back.
 
 #include "Courseloom/src/Agent/ReportedTarget.h"
 #include "Courseloom/src/Scheduling/RunLedger.h"
-#include "test/AgentStage.h"
+#include "test/AgentFixture.h"
 #include "test/main.h"
 
 using namespace courseloom;
@@ -38,7 +39,7 @@
   return reply;
 }
 
-/** Has many agents with a description each heard by a ledger. */
+/** \returns a ledger that has received a report with a description from each of `agents` agents. */
 RunLedger ledgerWith(std::size_t agents) {
   RunLedger ledger;
   for (std::size_t i = 0; i < agents; ++i) {
@@ -49,33 +50,33 @@
   return ledger;
 }
 
-/** Takes descriptions in, and once asks for all of a report that tells of an end. */
+/** Acknowledges descriptions. Once, it rejects a short report of an end and requests the whole report. */
 class ForgetfulLeader : public FakeLeader {
  public:
   Awaitable<Result<schema::AttendReply>> attend(schema::AttendRequest request) override {
-    schema::AttendReply answer = grantReply(LongGrantMs);
-    const bool whole = request.has_target() || request.target_version() == 0;
-    shortReports += whole ? 0 : 1;
-    if (request.ends_size() > 0 && !whole && !asked) {
-      asked = true;
+    schema::AttendReply answer = leaseReply(LongLeaseMs);
+    const bool isWhole = request.has_target() || request.target_version() == 0;
+    shortReports += isWhole ? 0 : 1;
+    if (request.ends_size() > 0 && !isWhole && !wholeRequested) {
+      wholeRequested = true;
       answer.set_grant_ms(0);
       answer.set_whole_wanted(true);
       co_return answer;
     }
     answer.set_target_version(request.target_version());
-    endTaken = endTaken || (asked && whole && request.ends_size() > 0);
+    endApplied = endApplied || (wholeRequested && isWhole && request.ends_size() > 0);
     orderOnce(request, answer);
     if (request.wait_ms() > 0) co_await sleepFor(milliseconds(20));
     co_return answer;
   }
   unsigned shortReports = 0;
-  bool asked = false;
-  bool endTaken = false;
+  bool wholeRequested = false;
+  bool endApplied = false;
 };
 
 }  // namespace
 
-Test(short_reports, a_description_is_left_out_once_the_leader_has_it) {
+Test(short_reports, a_description_is_omitted_once_the_leader_has_it) {
   ReportedTarget reported;
   schema::AttendRequest first = reportOf("agent", 1);
   reported.put(first, described());
@@ -89,7 +90,7 @@
   cr_assert(changed.has_target());
 }
 
-Test(short_reports, the_next_leader_and_one_that_asks_are_told_everything) {
+Test(short_reports, the_next_leader_and_one_that_requests_it_get_the_whole_report) {
   ReportedTarget reported;
   schema::AttendRequest first = reportOf("agent", 1);
   reported.put(first, described());
@@ -106,8 +107,8 @@
   cr_assert(again.has_target());
 }
 
-// A leader from before an upgrade takes only whole reports, and names no number.
-Test(short_reports, a_leader_that_names_no_number_is_always_told_everything) {
+// A leader of a version before short reports applies only whole reports, and acknowledges no target version.
+Test(short_reports, a_leader_that_acknowledges_no_version_always_gets_whole_reports) {
   ReportedTarget reported;
   for (std::uint64_t sequence = 1; sequence < 4; ++sequence) {
     schema::AttendRequest report = reportOf("agent", sequence);
@@ -118,7 +119,7 @@
   }
 }
 
-Test(short_reports, only_a_report_that_fits_what_is_known_is_completed) {
+Test(short_reports, only_a_report_with_the_known_version_and_incarnation_is_completed) {
   RunLedger ledger;
   schema::AttendRequest whole = reportOf("agent", 1);
   whole.set_target_version(7);
@@ -131,43 +132,44 @@
   schema::AttendRequest otherVersion = reportOf("agent", 3);
   otherVersion.set_target_version(8);
   cr_assert_not(ledger.complete(otherVersion));
-  schema::AttendRequest otherLife = fits;
-  otherLife.clear_target();
-  otherLife.set_incarnation(2);
-  cr_assert_not(ledger.complete(otherLife));
+  schema::AttendRequest otherIncarnation = fits;
+  otherIncarnation.clear_target();
+  otherIncarnation.set_incarnation(2);
+  cr_assert_not(ledger.complete(otherIncarnation));
   ledger.lead(WorkflowTable(), Now, 2);
   fits.clear_target();
-  cr_assert_not(ledger.complete(fits), "a new leader knows nothing of what its predecessor was told");
+  cr_assert_not(ledger.complete(fits), "a new leader does not have the descriptions of its predecessor");
   schema::AttendRequest ofOldAgent = reportOf("old", 1);
-  cr_assert(ledger.complete(ofOldAgent), "an agent that has found no target yet, or numbers nothing");
+  cr_assert(ledger.complete(ofOldAgent), "a report of an agent that has found no target yet, or sends no versions");
 }
 
-// 810 agents made 2,700 reports a second, though nothing had changed.
-Test(short_reports, the_more_agents_the_longer_each_report_is_held) {
+// Guards against too many reports without changes: 810 agents sent 2,700 a second although nothing had changed.
+Test(short_reports, reports_are_held_longer_the_more_agents_there_are) {
   const RunLedgerOptions options;
   cr_assert_lt(toMilliseconds(ledgerWith(11).reportWait()), 20.0);
   const double atMany = toMilliseconds(ledgerWith(810).reportWait());
   const double atTwice = toMilliseconds(ledgerWith(1620).reportWait());
   cr_assert_float_eq(atMany, 810.0, 1.0);
   cr_assert_gt(atTwice, atMany);
-  cr_assert(ledgerWith(4000).reportWait() + milliseconds(1000) <= options.silenceLimit, "agents would seem silent");
+  cr_assert(ledgerWith(4000).reportWait() + milliseconds(1000) <= options.silenceLimit, "agents would count as silent");
 }
 
-Test(short_reports, what_a_leader_did_not_take_in_is_told_again_whole) {
+Test(short_reports, a_rejected_short_report_is_sent_again_whole) {
   ForgetfulLeader leader;
-  Stage stage(leader);
-  stage.target.startsGetNoAnswer = true;
-  stage.run(milliseconds(2500));
-  cr_assert_gt(leader.shortReports, 0, "no report left the description out");
-  cr_assert(leader.asked, "no short report told of an end");
-  cr_assert(leader.endTaken, "the end was lost with the report that was not taken in");
+  AgentFixture fixture(leader);
+  fixture.target.startsGetNoAnswer = true;
+  fixture.run(milliseconds(2500));
+  cr_assert_gt(leader.shortReports, 0, "no report omitted the description");
+  cr_assert(leader.wholeRequested, "no short report contained an end");
+  cr_assert(leader.endApplied, "the end was lost with the rejected report");
 }
 
-// Agents whose reports are held back for long refused to relay calls between two answers.
+// Guards against agents that refuse to relay calls between two answers of the leader while their reports are held back
+// for long.
 Test(short_reports, an_agent_reaches_control_for_as_long_as_two_reports_may_be_held) {
   for (const std::int64_t waitMs : {300, 810, 1500}) {
     const Duration wait = milliseconds(waitMs);
     cr_assert(reachesControl(Now, wait, Now + wait + milliseconds(50)), "between two answers at %ld ms", waitMs);
-    cr_assert_not(reachesControl(Now, wait, Now + 2 * wait + milliseconds(300)), "cut off at %ld ms", waitMs);
+    cr_assert_not(reachesControl(Now, wait, Now + 2 * wait + milliseconds(300)), "disconnected at %ld ms", waitMs);
   }
 }
--- a/test/standins/RunnerTarget.cpp
+++ b/test/standins/RunnerTarget.cpp
@@ -21,19 +21,21 @@
 namespace {
 
 constexpr Duration HeartbeatInterval = milliseconds(150);
-constexpr Duration Look = milliseconds(10);
+/** Interval at which conditions are checked. */
+constexpr Duration CheckInterval = milliseconds(10);
+/** Time from an order to stop to the end of the task, ms. */
 constexpr std::int64_t StopMs = 50;
 constexpr std::int64_t ShortestTaskMs = 20;
-/** A late order is carried out this long after it came, ms. */
+/** Bounds of the random delay of late orders, ms. */
 constexpr unsigned ShortestLateMs = 300;
 constexpr unsigned LongestLateMs = 4000;
-/** A target that a task has crashed is back after this. */
+/** Time after which a target that a task has crashed is available again. */
 constexpr Duration BackAfterCrash = milliseconds(1000);
-/** What a task asks for that crashes its target; the milliseconds until then may follow. */
+/** Specification of a task that crashes its target. The time until the crash, ms, may follow. */
 const std::string CrashSpec = "crash";
-/** No caller waits for an answer for as long as this. */
+/** Longer than any caller waits for an answer. */
 constexpr Duration NoAnswer = milliseconds(20000);
-/** Heartbeats of a life that may arrive after its end. */
+/** Maximum number of heartbeats of an incarnation that can be delivered after its end. */
 constexpr std::size_t KeptHeartbeats = 8;
 constexpr unsigned AllPercent = 100;
 
@@ -47,10 +49,10 @@
   return {};
 }
 
-/** Closes the connection whose request is being answered, as the end of the process would. */
-struct ProcessGone : std::exception {};
+/** Closes the connection of the request that is being answered, as the end of the process would. */
+struct ProcessTerminated : std::exception {};
 
-/** \returns the fencing token of an order, or 0 of what is none. */
+/** \returns the fencing token of an order, or 0 if the request has none. */
 std::int64_t tokenOf(const HttpRequest& request) {
   boost::system::error_code error;
   const json::value body = json::parse(request.body(), error);
@@ -59,20 +61,21 @@
   return token == nullptr ? 0 : token->to_number<std::int64_t>(error);
 }
 
-unsigned queryNumber(const std::string& path, const std::string& name, unsigned standard) {
+/** \returns the number in a path's query, or `defaultValue` if the query does not contain it. */
+unsigned queryNumber(const std::string& path, const std::string& name, unsigned defaultValue) {
   const std::string text = queryText(path, name);
-  return text.empty() ? standard : static_cast<unsigned>(std::stoul(text));
+  return text.empty() ? defaultValue : static_cast<unsigned>(std::stoul(text));
 }
 
 }  // namespace
 
-Trouble Trouble::asked(const std::string& path) {
+InjectedFault InjectedFault::fromQuery(const std::string& path) {
   return {BootClock::now() + milliseconds(queryNumber(path, "ms", 0)), queryNumber(path, "percent", AllPercent),
           queryText(path, "of"), queryNumber(path, "after", 0)};
 }
 
-bool Trouble::befalls(const std::string& path, std::mt19937_64& random) const {
-  if (BootClock::now() >= until || (!of.empty() && path != "/-/" + of)) return false;
+bool InjectedFault::affects(const std::string& path, std::mt19937_64& random) const {
+  if (BootClock::now() >= until || (!orderKind.empty() && path != "/-/" + orderKind)) return false;
   return std::uniform_int_distribution<unsigned>(1, AllPercent)(random) <= percent;
 }
 
@@ -85,8 +88,8 @@
       m_server(io, HttpLimits(), [this](HttpRequest request, std::string) { return answer(std::move(request)); }) {}
 
 unsigned RunnerTarget::start() {
-  m_lifePrefix = "i-" + m_options.name + "-" + std::to_string(m_lifeBegan.time_since_epoch().count());
-  m_bornMs = wallClockMs();
+  m_idPrefix = "i-" + m_options.name + "-" + std::to_string(m_startedAt.time_since_epoch().count());
+  m_startTimeMs = wallClockMs();
   if (!m_options.events.empty()) m_events.open(m_options.events, std::ios::app);
   Result<unsigned> bound = m_server.start(m_options.address, m_options.port);
   asio::co_spawn(m_io, heartbeatLoop(), asio::detached);
@@ -97,23 +100,23 @@
 std::int64_t RunnerTarget::clockMs() const {
   constexpr std::int64_t Percent = 100;
   constexpr std::int64_t MicrosecondsPerMillisecond = 1000;
-  const std::int64_t elapsed = (BootClock::now() - m_lifeBegan).count();
-  return elapsed * m_options.clockPercent / Percent / MicrosecondsPerMillisecond + m_clockBegins;
+  const std::int64_t elapsed = (BootClock::now() - m_startedAt).count();
+  return elapsed * m_options.clockPercent / Percent / MicrosecondsPerMillisecond + m_initialClockMs;
 }
 
-std::string RunnerTarget::id() const { return m_lifePrefix + "-" + std::to_string(m_identity); }
+std::string RunnerTarget::id() const { return m_idPrefix + "-" + std::to_string(m_identity); }
 
-std::string RunnerTarget::life() const { return id() + "@" + std::to_string(m_bornMs); }
+std::string RunnerTarget::incarnation() const { return id() + "@" + std::to_string(m_startTimeMs); }
 
-void RunnerTarget::tell(const char* kind, const std::string& task, std::int64_t run, const std::string& how) {
+void RunnerTarget::recordEvent(const char* kind, const std::string& task, std::int64_t run, const std::string& how) {
   if (!m_events.is_open()) return;
-  m_events << BootClock::now().time_since_epoch().count() << " " << kind << " " << life() << " " << task << " " << run
-           << " " << how << std::endl;
+  m_events << BootClock::now().time_since_epoch().count() << " " << kind << " " << incarnation() << " " << task << " "
+           << run << " " << how << std::endl;
 }
 
 Awaitable<void> RunnerTarget::heartbeatLoop() {
   while (true) {
-    while (BootClock::now() < std::max(m_hushUntil, m_nextHeartbeat)) co_await sleepFor(Look);
+    while (BootClock::now() < std::max(m_noHeartbeatUntil, m_nextHeartbeat)) co_await sleepFor(CheckInterval);
     m_nextHeartbeat = BootClock::now() + HeartbeatInterval;
     HttpRequest request(http::verb::post, "/-/Instances.Heartbeat/" + id(), 11);
     request.set(http::field::content_type, "application/json");
@@ -122,7 +125,7 @@
                       {"remaining_ms", 400},          {"capacity", {{"cpu", 64000}, {"mem_mb", 64000}, {"gpu", 8}}},
                       {"labels", {"a", "r1"}},        {"clock_ms", clockMs()},
                       {"seq", ++m_sequence}};
-    if (m_options.statesBirth) body["born"] = m_bornMs;
+    if (m_options.statesStartTime) body["born"] = m_startTimeMs;
     request.body() = json::serialize(body);
     m_heartbeats.push_back(request);
     if (m_heartbeats.size() > KeptHeartbeats) m_heartbeats.pop_front();
@@ -130,9 +133,9 @@
   }
 }
 
-/** Delivers the last heartbeats of the former life as it made them. */
-Awaitable<void> RunnerTarget::deliverFormer(std::size_t times, Duration after) {
-  std::deque<HttpRequest> heartbeats = m_former;
+/** Delivers the last heartbeats of the former incarnation unchanged. */
+Awaitable<void> RunnerTarget::deliverFormerHeartbeats(std::size_t times, Duration after) {
+  std::deque<HttpRequest> heartbeats = m_formerHeartbeats;
   while (heartbeats.size() > times) heartbeats.pop_front();
   co_await sleepFor(after);
   while (!heartbeats.empty()) {
@@ -142,64 +145,64 @@
   }
 }
 
-void RunnerTarget::beginLife(const std::string& path) {
-  tell("over", "-", 0, "crash");
+void RunnerTarget::restart(const std::string& path) {
+  recordEvent("over", "-", 0, "crash");
   m_downUntil = BootClock::now() + milliseconds(queryNumber(path, "down", 0));
-  ++m_life;
+  ++m_incarnation;
   if (queryNumber(path, "same", 0) == 0) ++m_identity;
-  m_lifeBegan = m_downUntil;
-  m_bornMs = std::max(m_bornMs + 1, wallClockMs());
-  m_former = std::exchange(m_heartbeats, {});
+  m_startedAt = m_downUntil;
+  m_startTimeMs = std::max(m_startTimeMs + 1, wallClockMs());
+  m_formerHeartbeats = std::exchange(m_heartbeats, {});
   const unsigned lateMs = queryNumber(path, "late", 0);
   if (lateMs > 0) {
-    asio::co_spawn(m_io, deliverFormer(queryNumber(path, "times", 1), milliseconds(lateMs)), asio::detached);
+    asio::co_spawn(m_io, deliverFormerHeartbeats(queryNumber(path, "times", 1), milliseconds(lateMs)), asio::detached);
   }
   m_sequence = 0;
   m_running.clear();
-  m_over.clear();
+  m_highestEnded.clear();
   m_ends.clear();
   m_lastEnd = 0;
-  m_term = 0;
-  m_formerHeard = m_heard;
-  m_nextHeartbeat = m_downUntil;  // a process registers when it begins
+  m_executedToken = 0;
+  m_formerReceivedToken = m_receivedToken;
+  m_nextHeartbeat = m_downUntil;  // a process registers when it starts
   m_heldUntil = 0;
-  m_lapseTold = 0;
+  m_recordedLapse = 0;
   m_draining = false;
 }
 
-void RunnerTarget::end(const std::string& name, const char* how) {
+void RunnerTarget::endTask(const std::string& name, const char* how) {
   const Task task = m_running.at(name);
   m_running.erase(name);
-  m_over[name] = std::max(m_over[name], task.run);
+  m_highestEnded[name] = std::max(m_highestEnded[name], task.run);
   if (std::string(how) == "done") ++m_done[name];
-  tell("ended", name, task.run, how);
+  recordEvent("ended", name, task.run, how);
   m_ends.push_back(json::array{++m_lastEnd, name, task.run, how, "saved"});
 }
 
 Awaitable<void> RunnerTarget::timeLoop() {
   while (true) {
     const std::int64_t now = clockMs();
-    if (now >= m_heldUntil && m_lapseTold != m_heldUntil) {
-      m_lapseTold = m_heldUntil;
-      tell("lapsed", "-", 0, "-");
+    if (now >= m_heldUntil && m_recordedLapse != m_heldUntil) {
+      m_recordedLapse = m_heldUntil;
+      recordEvent("lapsed", "-", 0, "-");
     }
     const std::map<std::string, Task> running = m_running;
     const auto crashes = [now](const auto& entry) { return entry.second.crashAt != 0 && now >= entry.second.crashAt; };
     if (std::any_of(running.begin(), running.end(), crashes)) {
       ++m_crashes;
-      beginLife("/crash?same=1&down=" + std::to_string(static_cast<int>(toMilliseconds(BackAfterCrash))));
+      restart("/crash?same=1&down=" + std::to_string(static_cast<int>(toMilliseconds(BackAfterCrash))));
       continue;
     }
     for (const auto& [name, task] : running) {
       if (now >= m_heldUntil) {
-        end(name, "lapsed");
+        endTask(name, "lapsed");
       } else if (task.stopAt != 0 && now >= task.stopAt) {
-        end(name, "stopped");
+        endTask(name, "stopped");
       } else if (task.doneAt != 0 && now >= task.doneAt) {
-        end(name, task.fails ? "failed" : "done");
+        endTask(name, task.fails ? "failed" : "done");
       }
     }
-    co_await sleepFor(Look);
+    co_await sleepFor(CheckInterval);
   }
 }
 
@@ -207,15 +210,15 @@
   const std::string path(request.target());
   if (path == "/starts") co_return jsonResponse(200, counts());
   if (path.rfind("/crash", 0) == 0) {
-    beginLife(path);
+    restart(path);
     co_return jsonResponse(200, "{}");
   }
   if (path.rfind("/former", 0) == 0) {
-    co_await deliverFormer(queryNumber(path, "times", 1), Duration(0));
+    co_await deliverFormerHeartbeats(queryNumber(path, "times", 1), Duration(0));
     co_return jsonResponse(200, "{}");
   }
   if (path.rfind("/hush", 0) == 0) {
-    m_hushUntil = BootClock::now() + milliseconds(queryNumber(path, "ms", 0));
+    m_noHeartbeatUntil = BootClock::now() + milliseconds(queryNumber(path, "ms", 0));
     co_return jsonResponse(200, "{}");
   }
   if (path.rfind("/slow", 0) == 0) {
@@ -231,44 +234,44 @@
     co_return jsonResponse(200, "{}");
   }
   if (path.rfind("/mute", 0) == 0) {
-    m_muteUntil = BootClock::now() + milliseconds(queryNumber(path, "ms", 0));
+    m_stalledUntil = BootClock::now() + milliseconds(queryNumber(path, "ms", 0));
     co_return jsonResponse(200, "{}");
   }
   if (path.rfind("/refuse", 0) == 0) {
-    m_refusing = Trouble::asked(path);
+    m_refuseFault = InjectedFault::fromQuery(path);
     co_return jsonResponse(200, "{}");
   }
   if (path.rfind("/late", 0) == 0) {
-    m_late = Trouble::asked(path);
+    m_lateFault = InjectedFault::fromQuery(path);
     co_return jsonResponse(200, "{}");
   }
-  if (BootClock::now() < m_downUntil) throw ProcessGone();
-  m_heard = std::max(m_heard, tokenOf(request));
-  if (m_refusing.befalls(path, m_random)) {
+  if (BootClock::now() < m_downUntil) throw ProcessTerminated();
+  m_receivedToken = std::max(m_receivedToken, tokenOf(request));
+  if (m_refuseFault.affects(path, m_random)) {
     ++m_refused;
     co_return jsonResponse(m_random() % 2 == 0 ? 429 : 503, "");
   }
-  if (m_late.befalls(path, m_random)) co_return co_await carryOutLate(std::move(request));
-  while (BootClock::now() < m_muteUntil) co_await sleepFor(Look);
-  co_return co_await carryOut(std::move(request));
+  if (m_lateFault.affects(path, m_random)) co_return co_await executeLate(std::move(request));
+  while (BootClock::now() < m_stalledUntil) co_await sleepFor(CheckInterval);
+  co_return co_await executeOrder(std::move(request));
 }
 
-Awaitable<HttpResponse> RunnerTarget::carryOutLate(HttpRequest request) {
-  ++m_onTheirWay;
-  const unsigned life = m_life;
+Awaitable<HttpResponse> RunnerTarget::executeLate(HttpRequest request) {
+  ++m_pendingLate;
+  const unsigned incarnation = m_incarnation;
   const unsigned drawnMs = std::uniform_int_distribution<unsigned>(ShortestLateMs, LongestLateMs)(m_random);
-  co_await sleepFor(milliseconds(m_late.afterMs > 0 ? m_late.afterMs : drawnMs));
-  // Before a new life has taken a look that was meant for it, nothing of courseloom's can keep a call for the former
-  // one off: a start, and a look that has the start's end forgotten.
-  while (m_life != life && m_term <= m_formerHeard) co_await sleepFor(Look);
-  --m_onTheirWay;
-  ++m_cameLate;
-  HttpResponse unsent = co_await carryOut(std::move(request));
+  co_await sleepFor(milliseconds(m_lateFault.afterMs > 0 ? m_lateFault.afterMs : drawnMs));
+  // Before a new incarnation has accepted a poll that was meant for it, courseloom cannot fence calls for the former
+  // one, such as a start, or a poll that lets the target discard the end of that start.
+  while (m_incarnation != incarnation && m_executedToken <= m_formerReceivedToken) co_await sleepFor(CheckInterval);
+  --m_pendingLate;
+  ++m_executedLate;
+  HttpResponse unsent = co_await executeOrder(std::move(request));
   co_await sleepFor(NoAnswer);
   co_return unsent;
 }
 
-Awaitable<HttpResponse> RunnerTarget::carryOut(HttpRequest request) {
+Awaitable<HttpResponse> RunnerTarget::executeOrder(HttpRequest request) {
   const std::string path(request.target());
   if (headerValue(request, "X-Courseloom-Target-Instance") != id()) co_return jsonResponse(421, "{}");
   co_return co_await order(path, json::parse(request.body()).as_object());
@@ -278,8 +281,8 @@
   const auto number = [&body](const char* name) -> std::int64_t {
     return body.contains(name) ? body[name].to_number<std::int64_t>() : 0;
   };
-  if (number("fencing_token") < m_term) co_return refuse("fence");
-  m_term = number("fencing_token");
+  if (number("fencing_token") < m_executedToken) co_return refuse("fence");
+  m_executedToken = number("fencing_token");
   m_heldUntil = std::max(m_heldUntil, std::min(number("deadline_ms"), clockMs() + 6000));
   if (path == "/-/run-start") co_return startTask(body, number("run"), number("deadline_ms"));
   if (path == "/-/run-stop") {
@@ -288,15 +291,15 @@
     if (found != m_running.end() && found->second.run == number("run")) {
       found->second.stopAt = clockMs() + StopMs;
     } else {
-      m_over[name] = std::max(m_over[name], number("run"));
+      m_highestEnded[name] = std::max(m_highestEnded[name], number("run"));
     }
-    co_return plain();
+    co_return accept();
   }
-  forgetEnds(number("last_seen"));
+  discardEnds(number("last_seen"));
   const std::int64_t until = clockMs() + number("wait_ms");
-  const unsigned life = m_life;
-  while (m_ends.empty() && clockMs() < until && m_life == life) co_await sleepFor(Look);
-  if (m_life != life) throw ProcessGone();
+  const unsigned incarnation = m_incarnation;
+  while (m_ends.empty() && clockMs() < until && m_incarnation == incarnation) co_await sleepFor(CheckInterval);
+  if (m_incarnation != incarnation) throw ProcessTerminated();
   json::array running;
   for (const auto& [name, task] : m_running) {
     const std::int64_t whole = std::max<std::int64_t>(1, task.doneAt - task.startedAt);
@@ -307,14 +310,14 @@
   json::array finished;
   for (const json::array& row : m_ends) finished.push_back(row);
   json::object lists{{"clock_ms", clockMs()}, {"running", running}, {"finished", finished}};
-  if (m_options.statesBirth) lists["born"] = m_bornMs;
+  if (m_options.statesStartTime) lists["born"] = m_startTimeMs;
   co_return jsonResponse(200, json::serialize(lists));
 }
 
-void RunnerTarget::forgetEnds(std::int64_t seen) {
+void RunnerTarget::discardEnds(std::int64_t seen) {
   while (!m_ends.empty() && m_ends.front().at(0).as_int64() <= seen) {
     const json::array& row = m_ends.front();
-    tell("noted", std::string(row.at(1).as_string()), row.at(2).as_int64(), std::string(row.at(3).as_string()));
+    recordEvent("noted", std::string(row.at(1).as_string()), row.at(2).as_int64(), std::string(row.at(3).as_string()));
     m_ends.erase(m_ends.begin());
   }
 }
@@ -322,27 +325,27 @@
 HttpResponse RunnerTarget::startTask(json::object& body, std::int64_t run, std::int64_t deadline) {
   const std::string name(body["task"].as_string());
   const auto found = m_running.find(name);
-  if (found != m_running.end() && found->second.run == run) return plain();
+  if (found != m_running.end() && found->second.run == run) return accept();
   if (clockMs() >= deadline) return refuse("late");
-  if (m_over[name] >= run) return refuse("old");
+  if (m_highestEnded[name] >= run) return refuse("old");
   if (found != m_running.end() || m_running.size() >= 8) return refuse("room");
   const std::string spec(body["spec"].as_string());
   Task task;
   task.run = run;
   task.startedAt = clockMs();
-  const bool atOnce = BootClock::now() < m_failUntil;
-  const bool endless = spec == "forever" && !atOnce;
-  const std::int64_t wholeMs = atOnce ? 0 : std::int64_t{std::atoi(spec.c_str())} * m_timePercent / AllPercent;
-  task.fails = atOnce || spec.find("fail") != std::string::npos;
+  const bool failsAtOnce = BootClock::now() < m_failUntil;
+  const bool endless = spec == "forever" && !failsAtOnce;
+  const std::int64_t runMs = failsAtOnce ? 0 : std::int64_t{std::atoi(spec.c_str())} * m_timePercent / AllPercent;
+  task.fails = failsAtOnce || spec.find("fail") != std::string::npos;
   if (spec.rfind(CrashSpec, 0) == 0) task.crashAt = clockMs() + std::atoi(spec.c_str() + CrashSpec.size());
-  task.doneAt = endless ? 0 : clockMs() + std::max(ShortestTaskMs, wholeMs);
+  task.doneAt = endless ? 0 : clockMs() + std::max(ShortestTaskMs, runMs);
   m_running[name] = task;
   ++m_starts[name];
-  tell("started", name, run, "-");
-  return plain();
+  recordEvent("started", name, run, "-");
+  return accept();
 }
 
-HttpResponse RunnerTarget::plain() const {
+HttpResponse RunnerTarget::accept() const {
   return jsonResponse(200, json::serialize(json::object{{"clock_ms", clockMs()}}));
 }
 
@@ -360,8 +363,8 @@
                                       {"running", m_running.size()},
                                       {"crashes", m_crashes},
                                       {"refused", m_refused},
-                                      {"onTheirWay", m_onTheirWay},
-                                      {"cameLate", m_cameLate}});
+                                      {"onTheirWay", m_pendingLate},
+                                      {"cameLate", m_executedLate}});
 }
 
 }  // namespace courseloom::test
--- a/test/standins/platform.cpp
+++ b/test/standins/platform.cpp
@@ -1,16 +1,16 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// Stand-in for the platform: workers in racks and data halls, tasks under leases, a lagging list of instances.
+// Stand-in for the platform: workers in racks and data halls, tasks under leases, a delayed list of instances.
 //
 //   platform --port 0 --workers 10 --accelerators 8
 //   GET /v1/report, POST /v1/orders       what courseloom uses; see schema/platform.proto
 //   POST /behave?checkpointMs=N&failCheckpoint=0|1&refuseStart=WORKER&dropAnswers=N&stopStatus=N&reportStatus=N
-//                                         stopStatus: stops are not carried out and get this status; reportStatus: as
-//                                         status of reports; both with an empty object, 0 ends it
-//   POST /worker?name=w1&live=0|1         loses or restores a worker with its tasks
-//   POST /instance?name=t1&leaving=0|1    shows in the report after the lag
-//   GET /audit                            starts by job and lease, as JSON
+//                                         stopStatus: stops are not executed and get this status; reportStatus:
+//                                         reports get this status; both answer an empty object, 0 switches them off
+//   POST /worker?name=w1&live=0|1         removes a worker, whose open tasks fail, or restores it
+//   POST /instance?name=t1&leaving=0|1    sets an instance's state, which the report shows after the lag
+//   GET /audit                            number of starts of each job, as JSON
 
 #include <google/protobuf/util/json_util.h>
 
@@ -40,7 +40,7 @@
   unsigned accelerators = 8;
   unsigned cores = 130;
   std::uint64_t memoryMb = 260000;
-  int lagMs = 500;
+  int lagMs = 500;  ///< delay of usage and of the list of instances in reports
 };
 
 struct Task {
@@ -54,7 +54,7 @@
 
 struct LeavingInstance {
   bool leaving = false;
-  Time shown{};
+  Time visibleAt{};  ///< when reports begin to show that it is leaving
 };
 
 class StandInPlatform {
@@ -83,23 +83,23 @@
  private:
   Awaitable<HttpResponse> handle(HttpRequest request) {
     const std::string target(request.target());
-    const std::size_t mark = target.find('?');
-    const std::string path = target.substr(0, mark);
-    const std::string query = mark == std::string::npos ? "" : target.substr(mark + 1);
-    age();
+    const std::size_t queryStart = target.find('?');
+    const std::string path = target.substr(0, queryStart);
+    const std::string query = queryStart == std::string::npos ? "" : target.substr(queryStart + 1);
+    updatePhases();
     if (path == "/v1/report") co_return m_reportStatus == 0 ? report() : jsonResponse(m_reportStatus, "{}");
-    if (path == "/v1/orders") co_return co_await takeOrder(request.body());
+    if (path == "/v1/orders") co_return co_await receiveOrder(request.body());
     if (path == "/audit") co_return audit();
     if (path == "/worker") setWorker(queryValue(query, "name"), queryValue(query, "live") == "1");
     if (path == "/instance") {
       m_instances[queryValue(query, "name")] = {queryValue(query, "leaving") == "1",
                                                 BootClock::now() + milliseconds(m_options.lagMs)};
     }
-    if (path == "/behave") behave(query);
+    if (path == "/behave") setBehaviour(query);
     co_return jsonResponse(200, "{}\n");
   }
 
-  void behave(const std::string& query) {
+  void setBehaviour(const std::string& query) {
     const std::string checkpoint = queryValue(query, "checkpointMs");
     if (!checkpoint.empty()) m_checkpointMs = std::atoi(checkpoint.c_str());
     const std::string failing = queryValue(query, "failCheckpoint");
@@ -122,7 +122,7 @@
     }
   }
 
-  void age() {
+  void updatePhases() {
     const Time now = BootClock::now();
     for (auto& [number, task] : m_tasks) {
       if (task.phase == schema::TaskRunning && now >= task.ends) task.phase = schema::TaskFinished;
@@ -152,7 +152,7 @@
     for (const auto& [name, instance] : m_instances) {
       schema::Instance* row = report.add_instances();
       row->set_name(name);
-      row->set_leaving(instance.leaving && now >= instance.shown);
+      row->set_leaving(instance.leaving && now >= instance.visibleAt);
     }
     return json(report);
   }
@@ -163,7 +163,7 @@
     return jsonResponse(200, text);
   }
 
-  Awaitable<HttpResponse> takeOrder(const std::string& body) {
+  Awaitable<HttpResponse> receiveOrder(const std::string& body) {
     schema::LeaseOrder order;
     if (!google::protobuf::util::JsonStringToMessage(body, &order).ok()) co_return jsonResponse(400, "{}");
     if (order.kind() == schema::Stop && m_stopStatus != 0) co_return jsonResponse(m_stopStatus, "{}");
@@ -173,7 +173,7 @@
     } else {
       m_term = order.term();
       if (order.kind() == schema::Checkpoint) co_await sleepFor(milliseconds(m_checkpointMs));
-      obey(order, reply);
+      executeOrder(order, reply);
     }
     if (m_dropAnswers > 0) {
       --m_dropAnswers;
@@ -195,7 +195,7 @@
     return false;
   }
 
-  void obey(const schema::LeaseOrder& order, schema::OrderReply& reply) {
+  void executeOrder(const schema::LeaseOrder& order, schema::OrderReply& reply) {
     const auto found = m_tasks.find(order.number());
     if (order.kind() == schema::Reserve) {
       const bool known = found != m_tasks.end();
@@ -213,11 +213,11 @@
       reply.set_accepted(order.kind() == schema::Stop || order.kind() == schema::Release);
       return;
     }
-    obeyTask(order, found->second, reply);
+    executeTaskOrder(order, found->second, reply);
     if (order.kind() == schema::Release) m_tasks.erase(found);
   }
 
-  void obeyTask(const schema::LeaseOrder& order, Task& task, schema::OrderReply& reply) {
+  void executeTaskOrder(const schema::LeaseOrder& order, Task& task, schema::OrderReply& reply) {
     reply.set_accepted(true);
     reply.set_phase(task.phase);
     switch (order.kind()) {
--- a/test/standins/runner.cpp
+++ b/test/standins/runner.cpp
@@ -1,29 +1,30 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// Stand-in for a back end of the users' platform: runs tasks under leases, lists ends, registers with its agent.
+// Stand-in for a target of the users' platform: runs tasks under leases, lists ends, registers with its agent.
 //
 //   standin-runner --address 127.0.0.1 --port 9001 --agent 127.0.0.1:9101 --name m1 --service s
 //
-// A task runs for as many milliseconds as its `spec` says (`200`), fails with `fail`, never ends with `forever`, and
-// crashes its target after so many milliseconds with `crash 30`; the target is back a second later.
-// GET /starts tells how often each task was started, and `done` ends, and how many orders were refused and came late.
-// Troubles:
-//   POST /crash                        begins a new life
-//   POST /crash?down=MS                begins a new life after a while without answers
-//   POST /crash?same=1                 begins a new life under the identity that it has
-//   POST /crash?late=MS&times=N        so, and the last N heartbeats of the former life arrive MS later
-//   POST /former?times=N               the last N heartbeats of the former life arrive now
-//   POST /hush?ms=N                    sends no heartbeat of its own for a while
-//   POST /slow?percent=N               what starts from now on takes N percent of its time
-//   POST /fail?ms=N                    what starts within this time fails at once
-//   POST /drain                        announces that it leaves
-//   POST /mute?ms=N                    carries no order out for a while, then all that came meanwhile
-//   POST /refuse?ms=N&percent=P&of=X   answers a share of the orders 429 or 503 for a while, and does nothing
-//   POST /late?ms=N&percent=P&of=X     leaves a share of the orders without an answer for a while, and carries them out
-//                                      0.3 to 4 s later, or after=MS, out of turn
-// X is run-start, run-stop or hold; all when left out. With --events each start, end, forgotten end and new life is a
-// line of a file: `MICROSECONDS started|ended|noted|lapsed|over LIFE TASK RUN HOW`.
+// The `spec` of a task is its run time in milliseconds (`200`). A task whose `spec` contains `fail` fails, one with
+// `forever` never ends, and one with `crash 30` crashes its target after 30 ms; the target is back a second later.
+// GET /starts returns how often each task was started and ended as done, how many tasks are running, how many crashes
+// tasks caused, and how many orders were refused, are late and not executed yet, or were executed late.
+// Faults:
+//   POST /crash                        restarts the target with a new identity
+//   POST /crash?down=MS                restarts the target; it answers no calls for MS
+//   POST /crash?same=1                 restarts the target with the same identity
+//   POST /crash?late=MS&times=N        restarts the target; the former incarnation's last N heartbeats arrive MS later
+//   POST /former?times=N               the last N heartbeats of the former incarnation arrive now
+//   POST /hush?ms=N                    sends no heartbeats for N ms
+//   POST /slow?percent=N               tasks that start from now on take N percent of their run time
+//   POST /fail?ms=N                    tasks that start within N ms fail at once
+//   POST /drain                        announces that the target is draining
+//   POST /mute?ms=N                    executes no orders for N ms, then all that arrived in the meantime
+//   POST /refuse?ms=N&percent=P&of=X   for N ms, refuses P percent of the orders with 429 or 503
+//   POST /late?ms=N&percent=P&of=X     for N ms, gives P percent of the orders no answer, and executes them 0.3 to 4 s
+//                                      later, or after=MS later, possibly out of order
+// X is run-start, run-stop or hold; all if omitted. With --events each start, end, discarded end, expired hold and end
+// of an incarnation is a line of a file: `MICROSECONDS started|ended|noted|lapsed|over INCARNATION TASK RUN HOW`.
 
 #include <CLI/CLI.hpp>
 #include <boost/asio/signal_set.hpp>
--- a/test/standins/target.cpp
+++ b/test/standins/target.cpp
@@ -1,13 +1,15 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// Stand-in for a target: answers POST /run, and can be told to behave badly.
+// Stand-in for a target: answers POST /run, with faults if configured.
 //
 //   target --port 0 --name t1
-//   POST /behave?mode=MODE&ms=N   ok, slow (N ms), late (0 to N ms, at random), cut (closes before the answer),
-//                                 truncate (half an answer), cross (another exchange's number), fail (status 500),
-//                                 frozen (no answer until the mode changes), drop (closes in the middle of the head)
-//   GET /runs                     how often each request id ran, as JSON; GET /peak: most requests at once
+//   POST /behave?mode=MODE&ms=N   sets the mode: ok, slow (N ms), late (0 to N ms, at random), cut (closes the
+//                                 connection before the answer), truncate (half an answer), cross (the number of
+//                                 another exchange), fail (status 500), frozen (no answer until the mode changes), drop
+//                                 (closes the connection in the middle of the header)
+//   GET /runs                     how often each request id was run, as JSON
+//   GET /peak                     highest number of concurrent requests
 
 #include <CLI/CLI.hpp>
 #include <atomic>
@@ -96,9 +98,9 @@
     unsigned peak = m_peak.load();
     while (now > peak && !m_peak.compare_exchange_weak(peak, now)) {
     }
-    const bool goOn = co_await run(stream, request);
+    const bool keepOpen = co_await run(stream, request);
     --m_running;
-    co_return goOn;
+    co_return keepOpen;
   }
 
   Awaitable<bool> run(beast::tcp_stream& stream, const HttpRequest& request) {
@@ -110,9 +112,9 @@
       ++m_runs[std::string(id->value())];
     }
     if (mode == "slow") co_await sleepFor(milliseconds(ms));
-    if (mode == "late") co_await sleepFor(milliseconds(std::uniform_int_distribution<int>(0, ms)(m_random())));
-    int still = 0;
-    while (mode == "frozen" && behaviour(still) == "frozen") co_await sleepFor(milliseconds(10));
+    if (mode == "late") co_await sleepFor(milliseconds(std::uniform_int_distribution<int>(0, ms)(randomGenerator())));
+    int ignoredMs = 0;
+    while (mode == "frozen" && behaviour(ignoredMs) == "frozen") co_await sleepFor(milliseconds(10));
     if (mode == "cut") co_return false;
     HttpResponse response;
     response.set(http::field::content_type, "text/plain");
@@ -124,18 +126,18 @@
     if (mode != "truncate" && mode != "drop") co_return co_await write(stream, response);
     std::ostringstream text;
     text << response;
-    const std::string whole = text.str();
-    const std::string part = whole.substr(0, mode == "drop" ? 10 : whole.size() - response.body().size() / 2 - 1);
+    const std::string full = text.str();
+    const std::string part = full.substr(0, mode == "drop" ? 10 : full.size() - response.body().size() / 2 - 1);
     co_await asio::async_write(stream.socket(), asio::buffer(part), asio::as_tuple(asio::use_awaitable));
     co_return false;
   }
 
   HttpResponse control(const std::string& target) {
     const std::lock_guard lock(m_mutex);
-    const std::size_t mark = target.find('?');
-    if (target.rfind("/behave", 0) == 0 && mark != std::string::npos) {
-      m_mode = queryValue(target.substr(mark + 1), "mode");
-      m_ms = std::atoi(queryValue(target.substr(mark + 1), "ms").c_str());
+    const std::size_t queryStart = target.find('?');
+    if (target.rfind("/behave", 0) == 0 && queryStart != std::string::npos) {
+      m_mode = queryValue(target.substr(queryStart + 1), "mode");
+      m_ms = std::atoi(queryValue(target.substr(queryStart + 1), "ms").c_str());
       return jsonResponse(200, "{}\n");
     }
     if (target == "/peak") return jsonResponse(200, std::to_string(m_peak.load()) + "\n");
@@ -145,7 +147,7 @@
     return jsonResponse(200, json + "}\n");
   }
 
-  static std::mt19937& m_random() {
+  static std::mt19937& randomGenerator() {
     thread_local std::mt19937 generator(std::random_device{}());
     return generator;
   }
--- a/test/suspension.cpp
+++ b/test/suspension.cpp
@@ -1,7 +1,7 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// A machine that was suspended: the clocks that go on jump, timers and the steady clock do not.
+// Suspension of the machine: the boot-time and wall clocks jump forward, timers and the steady clock do not.
 
 #include <sys/syscall.h>
 #include <unistd.h>
@@ -10,7 +10,7 @@
 #include <ctime>
 
 #include "Courseloom/src/Agent/ProgressWatch.h"
-#include "test/AgentStage.h"
+#include "test/AgentFixture.h"
 #include "test/main.h"
 
 using namespace courseloom;
@@ -20,15 +20,17 @@
 
 std::atomic<std::int64_t> suspendedMs{0};
 
+/** Simulates a suspension of the machine. */
 void suspend(std::int64_t ms) { suspendedMs += ms; }
 
 }  // namespace
 
-/** Stands before the C library's: the machine was suspended for suspendedMs. */
+/** Overrides the function of the C library. Adds suspendedMs, in whole seconds, to the clocks that advance during a
+ * suspension. */
 extern "C" int clock_gettime(clockid_t id, timespec* time) noexcept {
   const long result = ::syscall(SYS_clock_gettime, id, time);
-  const bool goesOn = id == CLOCK_BOOTTIME || id == CLOCK_REALTIME;
-  if (result == 0 && goesOn) time->tv_sec += suspendedMs / 1000;
+  const bool advances = id == CLOCK_BOOTTIME || id == CLOCK_REALTIME;
+  if (result == 0 && advances) time->tv_sec += suspendedMs / 1000;
   return static_cast<int>(result);
 }
 
@@ -36,16 +38,18 @@
 
 constexpr std::int64_t SuspensionMs = 8000;
 
-/** Gives one order; the machine is suspended before the answer that brings it is sent, or before it is read. */
+/** Sends one order. The machine is suspended before the answer with the order is sent (heldBack), or before the agent
+ * reads it. */
 class SuspendedLeader : public FakeLeader {
  public:
   Awaitable<Result<schema::AttendReply>> attend(schema::AttendRequest request) override {
-    schema::AttendReply answer = grantReply(LongGrantMs);
+    schema::AttendReply answer = leaseReply(LongLeaseMs);
     if (!orderOnce(request, answer)) {
       co_await sleepFor(milliseconds(20));
       co_return answer;
     }
-    // Counted from the request's sending, the grant is over unless the leader says that it held the request back.
+    // The agent counts the lease from the time at which it sent the request. The lease has expired then, unless the
+    // leader states for how long it held the request back.
     if (heldBack) answer.set_held_ms(SuspensionMs);
     suspend(SuspensionMs);
     co_return answer;
@@ -55,7 +59,7 @@
 
 }  // namespace
 
-Test(suspension, clocks_that_go_on_jump_and_the_steady_clock_does_not) {
+Test(suspension, the_boot_clock_jumps_and_the_steady_clock_does_not) {
   const Time before = BootClock::now();
   const auto steadyBefore = std::chrono::steady_clock::now();
   suspend(SuspensionMs);
@@ -63,28 +67,28 @@
   cr_assert(std::chrono::steady_clock::now() - steadyBefore < milliseconds(SuspensionMs));
 }
 
-// The leader has counted the run as lapsed by then.
-Test(suspension, an_order_that_came_before_it_begins_nothing_after_it) {
+// By the end of the suspension the leader has counted the run as lapsed.
+Test(suspension, an_order_from_before_a_suspension_starts_nothing_after_it) {
   SuspendedLeader leader;
-  Stage stage(leader);
-  stage.target.refusesStarts = false;
-  stage.run(milliseconds(1000));
-  cr_assert_eq(stage.target.starts, 0);
+  AgentFixture fixture(leader);
+  fixture.target.refusesStarts = false;
+  fixture.run(milliseconds(1000));
+  cr_assert_eq(fixture.target.starts, 0);
 }
 
-// A target that slept with its agent would hold the run for as long again after the grant is over.
-Test(suspension, a_hold_is_not_longer_by_the_time_asleep) {
+// A target that was suspended with its agent would hold the run for the time of the suspension after the lease expired.
+Test(suspension, a_hold_is_not_extended_by_the_time_of_a_suspension) {
   SuspendedLeader leader;
   leader.heldBack = true;
-  Stage stage(leader);
-  stage.target.refusesStarts = false;
-  stage.run(milliseconds(1000));
-  cr_assert_eq(stage.target.starts, 1);
-  cr_assert(stage.target.lastDeadlineMs <= TargetClockMs + LongGrantMs, "held for %lu ms",
-            stage.target.lastDeadlineMs - TargetClockMs);
+  AgentFixture fixture(leader);
+  fixture.target.refusesStarts = false;
+  fixture.run(milliseconds(1000));
+  cr_assert_eq(fixture.target.starts, 1);
+  cr_assert(fixture.target.lastDeadlineMs <= TargetClockMs + LongLeaseMs, "the run was held for %lu ms",
+            fixture.target.lastDeadlineMs - TargetClockMs);
 }
 
-Test(suspension, a_run_does_not_stand_still_while_the_machine_sleeps) {
+Test(suspension, the_time_of_a_suspension_does_not_count_as_time_without_progress) {
   ProgressWatch watch;
   std::vector<schema::RunReport> running(1);
   running[0].set_percent(40);
