--- a/bench/Figures.h
+++ b/bench/Figures.h
@@ -14,26 +14,26 @@
 
 namespace courseloom::bench {
 
-/** Prints one figure the way tools read it. */
+/** Prints one measured figure as a line "figure: NAME VALUE UNIT". */
 inline void figure(const char* name, double value, const char* unit) {
   std::printf("figure: %s %.3f %s\n", name, value, unit);
   std::fflush(stdout);
 }
 
-/** \returns a quantile, 0 to 1, of some values; 0 if there are none. */
+/** \returns a quantile of the values; 0 if there are none. \param share which quantile, 0 to 1 */
 inline double quantile(std::vector<double> values, double share) {
   if (values.empty()) return 0;
   std::sort(values.begin(), values.end());
   return values[std::min(values.size() - 1, static_cast<std::size_t>(share * static_cast<double>(values.size())))];
 }
 
-/** What a process has used so far. */
+/** Resource usage of a process since its start. */
 struct ProcessUsage {
-  double cpuSeconds = 0;
-  double residentMb = 0;
+  double cpuSeconds = 0;  ///< user and system time
+  double residentMb = 0;  ///< resident memory, 10^6 bytes
 };
 
-/** \returns what a process has used, from /proc; nothing where it has ended. */
+/** \returns the resource usage of a process, from /proc; zeros if the process has ended. */
 inline ProcessUsage usageOf(pid_t pid) {
   std::ifstream stat("/proc/" + std::to_string(pid) + "/stat");
   std::string text;
--- a/bench/crashes.cpp
+++ b/bench/crashes.cpp
@@ -1,12 +1,13 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// When a task under which targets have crashed is started no more: rules side by side on the same seeded loads, with
-// tasks that crash targets and with targets that crash by themselves.
+// Compares rules for giving up a task under which targets have crashed. All rules run on the same seeded loads, with
+// tasks that crash targets and with targets that crash for other reasons.
 //
 //   bench_crashes [--seeds N] [--first N] [--waves TARGETS,...]
 //
-// With --waves it compares which targets that crash at one moment speak for their tasks instead.
+// With --waves, it compares rules for simultaneous crashes instead: when crashes of several targets at the same time
+// count as evidence of a cause outside the tasks that had been running there for some time.
 
 #include <CLI/CLI.hpp>
 #include <algorithm>
@@ -20,7 +21,7 @@
 
 namespace {
 
-std::vector<ReplayVariant> allRules() {
+std::vector<ReplayVariant> giveUpRules() {
   std::vector<ReplayVariant> rules;
   const auto add = [&rules](const char* name, CrashRule rule, bool trials) {
     ReplayVariant& variant = rules.emplace_back();
@@ -37,7 +38,7 @@
   return rules;
 }
 
-std::vector<ReplayVariant> togetherRules() {
+std::vector<ReplayVariant> simultaneousCrashRules() {
   std::vector<ReplayVariant> rules;
   const std::vector<std::pair<const char*, TogetherRule>> named{{"an-eighth", TogetherRule::AnEighth},
                                                                 {"any-three", TogetherRule::Three},
@@ -50,7 +51,7 @@
   return rules;
 }
 
-/** What one rule came to on one pattern. */
+/** Sums of the results of one rule on one pattern over all seeds. */
 struct Row {
   double worth = 0.0;
   unsigned crashes = 0;
@@ -84,7 +85,8 @@
     std::printf("%s\n", patterns(first)[p].name.c_str());
     for (std::size_t v = 0; v < rules.size(); ++v) {
       std::printf(
-          "  %-23s worth %.3f  crashes by tasks %u  runs lost %u  accused %u  given up %u  falsely %u  most starts "
+          "  %-23s worth %.3f  crashes by tasks %u  runs lost %u  wrongly suspected %u  given up %u  wrongly %u  most "
+          "starts "
           "%u\n",
           rules[v].name.c_str(), rows[v].worth / static_cast<double>(seeds), rows[v].crashes, rows[v].lostRuns,
           rows[v].suspected, rows[v].givenUp, rows[v].falselyGivenUp, rows[v].mostStarts);
@@ -98,20 +100,20 @@
 int main(int argc, char** argv) {
   std::uint64_t seeds = 20;
   std::uint64_t first = 1;
-  CLI::App app("rules on tasks that crash targets, side by side on seeded loads");
-  app.add_option("--seeds", seeds, "seeds for each pattern")->check(CLI::Range(1, 10000));
+  CLI::App app("compares rules on tasks that crash targets on seeded loads");
+  app.add_option("--seeds", seeds, "number of seeds for each pattern")->check(CLI::Range(1, 10000));
   app.add_option("--first", first, "first seed");
   std::vector<std::size_t> waves;
-  app.add_option("--waves", waves, "numbers of targets on which waves are compared")->delimiter(',');
+  app.add_option("--waves", waves, "numbers of targets for the comparison of simultaneous crashes")->delimiter(',');
   CLI11_PARSE(app, argc, argv);
   for (const std::size_t targets : waves) {
     const auto patterns = [targets](std::uint64_t seed) { return wavePatterns(seed, targets); };
-    compare(patterns, togetherRules(), first, seeds);
+    compare(patterns, simultaneousCrashRules(), first, seeds);
   }
   if (!waves.empty()) {
-    compare(crashPatterns, togetherRules(), first, seeds);
+    compare(crashPatterns, simultaneousCrashRules(), first, seeds);
   } else {
-    compare(crashPatterns, allRules(), first, seeds);
+    compare(crashPatterns, giveUpRules(), first, seeds);
   }
   return 0;
 }
--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -1,8 +1,9 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// What a leader costs with hundreds of agents: reports and bytes a second, processor time, memory, and the time until a
-// new leader has heard them all. Real control replicas; the agents are played in one process.
+// Measures the cost of a leader with hundreds of agents: reports and bytes per second, processor time, memory, and the
+// time until a new leader has answered reports of all agents. The control replicas are real processes; all agents are
+// simulated in one process.
 //
 //   bench_fleet [--agents N,N,...] [--seconds N] [-o table|json]
 
@@ -20,32 +21,32 @@
 
 namespace {
 
-constexpr Duration HeardLimit = milliseconds(30000);
+constexpr Duration WaitLimit = milliseconds(30000);
 constexpr const char* LongRunMs = "120000";
 constexpr unsigned AcceleratorsOfTarget = 8;
 
-/** What one number of agents came to. */
+/** Results of the measurement with one number of agents. */
 struct FleetRow {
   std::size_t agents = 0;
   double reportsPerSecond = 0.0;
-  double kbEachSecond = 0.0;  ///< messages only, both ways
-  double cpuPercent = 0.0;    ///< of one core, the leader
+  double kbPerSecond = 0.0;  ///< messages only, both directions
+  double cpuPercent = 0.0;   ///< of the leader, percent of one core
   double leaderMb = 0.0;
   double followerMb = 0.0;
-  double electedMs = 0.0;  ///< from the kill of the leader to the first answer of its successor
-  double planMs = 0.0;     ///< a pass of the planner while one step waits that fits nowhere
-  double heardMs = 0.0;    ///< from that kill until the successor has granted all agents
+  double electedMs = 0.0;      ///< time from the kill of the leader to the first answer of its successor
+  double planMs = 0.0;         ///< mean time of a pass of the planner while a step waits that fits on no target
+  double allAnsweredMs = 0.0;  ///< time from the same kill until the successor has answered all agents
 };
 
-/** \returns how long a condition took to hold, ms. */
+/** Waits until a condition holds, at most WaitLimit. \returns the time waited, ms */
 template <class Condition>
 double waitFor(Condition condition) {
-  const Time began = BootClock::now();
-  while (!condition() && BootClock::now() < began + HeardLimit) pause(1);
-  return toMilliseconds(BootClock::now() - began);
+  const Time start = BootClock::now();
+  while (!condition() && BootClock::now() < start + WaitLimit) pause(1);
+  return toMilliseconds(BootClock::now() - start);
 }
 
-/** A run at every second agent, as on a day with some load. */
+/** Adds a run for every second agent, as under moderate load. */
 void addRuns(WorkflowDeployment& deployment, const AgentCrowd& crowd, std::size_t agents) {
   const std::size_t wanted = agents / 2;
   const std::string body = job(static_cast<unsigned>(wanted), LongRunMs, false, AcceleratorsOfTarget);
@@ -53,15 +54,15 @@
   waitFor([&] { return crowd.running() >= wanted; });
 }
 
-/** \returns the mean time of the planner's passes over two seconds in which a step waits that fits nowhere, ms. */
+/** \returns the mean time of a planner pass, ms, over two seconds in which a step waits that fits on no target. */
 double planTime(WorkflowDeployment& deployment, unsigned leader) {
   const std::string tooLarge = job(1, "100", false, 8 * AcceleratorsOfTarget);
   deployment.until(200, "POST", "/q/00000000feed0002", tooLarge);
-  const double plans = deployment.metric(leader, "courseloom_plan_ms_count");
-  const double sum = deployment.metric(leader, "courseloom_plan_ms_sum");
+  const double passesBefore = deployment.metric(leader, "courseloom_plan_ms_count");
+  const double sumBefore = deployment.metric(leader, "courseloom_plan_ms_sum");
   pause(2000);
-  const double made = deployment.metric(leader, "courseloom_plan_ms_count") - plans;
-  return made > 0.0 ? (deployment.metric(leader, "courseloom_plan_ms_sum") - sum) / made : 0.0;
+  const double passes = deployment.metric(leader, "courseloom_plan_ms_count") - passesBefore;
+  return passes > 0.0 ? (deployment.metric(leader, "courseloom_plan_ms_sum") - sumBefore) / passes : 0.0;
 }
 
 FleetRow measure(std::size_t agents, unsigned seconds) {
@@ -80,7 +81,7 @@
   std::this_thread::sleep_for(std::chrono::seconds(seconds));
   const ProcessUsage after = usageOf(pidOf(leader));
   row.reportsPerSecond = static_cast<double>(crowd.reports() - reports) / seconds;
-  row.kbEachSecond = static_cast<double>(crowd.bytes() - bytes) / 1000.0 / seconds;
+  row.kbPerSecond = static_cast<double>(crowd.bytes() - bytes) / 1000.0 / seconds;
   row.cpuPercent = (after.cpuSeconds - before.cpuSeconds) / seconds * 100.0;
   row.leaderMb = after.residentMb;
   row.followerMb = usageOf(pidOf(leader % 3 + 1)).residentMb;
@@ -88,7 +89,7 @@
   const std::uint64_t term = *crowd.terms().rbegin();
   deployment.kill("control-" + std::to_string(leader));
   row.electedMs = waitFor([&] { return *crowd.terms().rbegin() > term; });
-  row.heardMs = row.electedMs + waitFor([&] { return crowd.attendedSince(term + 1) == agents; });
+  row.allAnsweredMs = row.electedMs + waitFor([&] { return crowd.attendedSince(term + 1) == agents; });
   return row;
 }
 
@@ -97,7 +98,8 @@
               "follower MB", "plan ms", "elected ms", "heard ms");
   for (const FleetRow& row : rows) {
     std::printf("%8zu %10.0f %8.0f %8.1f %10.1f %12.1f %8.2f %10.0f %10.0f\n", row.agents, row.reportsPerSecond,
-                row.kbEachSecond, row.cpuPercent, row.leaderMb, row.followerMb, row.planMs, row.electedMs, row.heardMs);
+                row.kbPerSecond, row.cpuPercent, row.leaderMb, row.followerMb, row.planMs, row.electedMs,
+                row.allAnsweredMs);
   }
 }
 
@@ -107,8 +109,8 @@
     std::printf(
         "%s{\"agents\":%zu,\"reportsEachSecond\":%.0f,\"kbEachSecond\":%.0f,\"cpuPercent\":%.1f,"
         "\"leaderMb\":%.1f,\"followerMb\":%.1f,\"planMs\":%.2f,\"electedMs\":%.0f,\"heardMs\":%.0f}",
-        &row == &rows.front() ? "" : ",", row.agents, row.reportsPerSecond, row.kbEachSecond, row.cpuPercent,
-        row.leaderMb, row.followerMb, row.planMs, row.electedMs, row.heardMs);
+        &row == &rows.front() ? "" : ",", row.agents, row.reportsPerSecond, row.kbPerSecond, row.cpuPercent,
+        row.leaderMb, row.followerMb, row.planMs, row.electedMs, row.allAnsweredMs);
   }
   std::printf("]\n");
 }
@@ -119,10 +121,11 @@
   std::vector<std::size_t> agents{300, 900, 1800};
   unsigned seconds = 8;
   std::string output = "table";
-  CLI::App app("what a leader costs with hundreds of agents");
-  app.add_option("--agents", agents, "numbers of agents")->delimiter(',')->check(CLI::Range(1, 5000));
-  app.add_option("--seconds", seconds, "time for which each is measured, s")->check(CLI::Range(1, 600));
-  app.add_option("-o,--output", output, "table or json")->check(CLI::IsMember({"table", "json"}));
+  CLI::App app("measures the cost of a leader with hundreds of agents");
+  app.add_option("--agents", agents, "numbers of agents to measure with")->delimiter(',')->check(CLI::Range(1, 5000));
+  app.add_option("--seconds", seconds, "duration of the measurement with each number of agents, s")
+      ->check(CLI::Range(1, 600));
+  app.add_option("-o,--output", output, "output format: table or json")->check(CLI::IsMember({"table", "json"}));
   CLI11_PARSE(app, argc, argv);
   std::vector<FleetRow> rows;
   for (const std::size_t number : agents) rows.push_back(measure(number, seconds));
--- a/bench/idle.cpp
+++ b/bench/idle.cpp
@@ -1,7 +1,7 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// What each role costs while nothing is asked of it, at two numbers of agents: processor time and memory, from /proc.
+// Measures processor time and memory, from /proc, of an idle process of each role, with two numbers of agents.
 
 #include <thread>
 
--- a/bench/planning.cpp
+++ b/bench/planning.cpp
@@ -1,8 +1,8 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// Time of one pass of the planner with every target full and a backlog in proportion, from 30 to 900 targets, and of
-// learning from what runs.
+// Measures the time of one pass of the planner with 30 to 900 full targets and a backlog in proportion to them, and the
+// time in which the run time estimator reads the active runs.
 
 #include <array>
 #include <cstdio>
@@ -21,16 +21,17 @@
 
 constexpr int Rounds = 15;
 
-/** Slowness of targets of three speeds, 0.8, 1 and 1.25 times the usual run time, each known to a tenth. */
-constexpr std::array<TargetSlowdown, 3> Paces{TargetSlowdown{-0.22, 0.1}, TargetSlowdown{0.0, 0.1},
-                                              TargetSlowdown{0.22, 0.1}};
+/** Slowdowns of targets with 0.8, 1 and 1.25 times the usual run time, each with an error of 0.1. */
+constexpr std::array<TargetSlowdown, 3> Slowdowns{TargetSlowdown{-0.22, 0.1}, TargetSlowdown{0.0, 0.1},
+                                                  TargetSlowdown{0.22, 0.1}};
 
-/** \returns the median time of a pass, ms. \param unlike whether targets differ in speed */
+/** \param backlog multiple of the backlog of PlannerLoad::full() \param unlike whether the targets differ in speed
+ * \returns the median time of a pass, ms */
 double measure(std::size_t targets, unsigned backlog, bool unlike = false) {
   std::vector<double> times;
   RunPlan plan;
   PlannerLoad load = PlannerLoad::full(targets, backlog, 1);
-  for (std::size_t i = 0; unlike && i < targets; ++i) load.targets[i].pace = Paces[i % Paces.size()];
+  for (std::size_t i = 0; unlike && i < targets; ++i) load.targets[i].pace = Slowdowns[i % Slowdowns.size()];
   RunPlanner planner;
   for (int round = 0; round < Rounds; ++round) {
     const Time before = BootClock::now();
@@ -47,13 +48,14 @@
   return median;
 }
 
-/** Time in which a leader looks at what its active runs show: each target has runs of some steps. */
+/** Measures the time in which a leader updates the run time estimator from its active runs; each target has runs of
+ * several steps. */
 void measureLearning(std::size_t targets, std::size_t runsEach) {
   std::vector<double> times;
-  RunTimeEstimator log;
+  RunTimeEstimator previous;
   for (int round = 0; round < Rounds; ++round) {
     const Time before = BootClock::now();
-    RunTimeEstimator runTimeEstimator = log;
+    RunTimeEstimator runTimeEstimator = previous;
     for (std::size_t t = 0; t < targets; ++t) {
       for (std::size_t r = 0; r < runsEach; ++r) {
         const StepOfRuns step{"workflow-" + std::to_string((t + r) / 20) + ".0.0", "queue", 8000.0, r % 2 == 0};
@@ -63,7 +65,7 @@
     }
     runTimeEstimator.closeAll();
     times.push_back(toMilliseconds(BootClock::now() - before));
-    log = std::move(runTimeEstimator);
+    previous = std::move(runTimeEstimator);
   }
   const std::string name =
       "learning, " + std::to_string(targets) + " targets, " + std::to_string(targets * runsEach) + " runs";
--- a/bench/policies.cpp
+++ b/bench/policies.cpp
@@ -1,9 +1,9 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// Ways to decide, side by side on the same seeded loads: worth, late workflows and work thrown away.
+// Compares variants of the scheduling policy on the same seeded loads: worth, late workflows and wasted work.
 //
-//   bench_policies [--variant NAME]... [--pattern WORD] [--seeds N] [--first N]
+//   bench_policies [--variant NAME]... [--pattern TEXT] [--seeds N] [--first N]
 
 #include <CLI/CLI.hpp>
 #include <cmath>
@@ -16,7 +16,7 @@
 
 namespace {
 
-/** Mean and its standard error. */
+/** Mean of added values and the standard error of the mean. */
 struct Mean {
   double sum = 0.0;
   double squares = 0.0;
@@ -71,47 +71,48 @@
   return variants;
 }
 
-/** What one variant came to on one pattern. */
+/** Results of one variant on one pattern over all seeds. */
 struct Row {
   Mean worth;
-  Mean gain;  ///< worth against the first variant on the same seed
+  Mean gain;  ///< worth minus that of the first variant on the same seed
   std::array<Mean, ReplayClasses> classes;
   Mean late;
-  Mean thrownAway;
+  Mean wastedWork;
   Mean stops;
 };
 
-void take(Row& row, const ReplayResult& result, double first) {
+/** Adds the result of one seed to a row. \param baseWorth worth of the first variant on the same seed */
+void addResult(Row& row, const ReplayResult& result, double baseWorth) {
   row.worth.add(result.worth());
-  row.gain.add(result.worth() - first);
+  row.gain.add(result.worth() - baseWorth);
   for (std::size_t i = 0; i < ReplayClasses; ++i) {
-    const ReplayResult::Class& one = result.classes[i];
-    if (one.owed > 0.0) row.classes[i].add(one.earned / one.owed);
+    const ReplayResult::Class& workClass = result.classes[i];
+    if (workClass.owed > 0.0) row.classes[i].add(workClass.earned / workClass.owed);
   }
   row.late.add(result.classes[0].late + result.classes[0].unfinished);
-  row.thrownAway.add(result.thrownAway);
+  row.wastedWork.add(result.thrownAway);
   row.stops.add(result.stops);
 }
 
 void print(const std::string& variant, const Row& row) {
   std::printf(
       "  %-18s worth %.3f +- %.3f  gain %+.3f +- %.3f  urgent %.3f gangs %.3f pieces %.3f  urgent late %.1f  "
-      "thrown away %.0f  stops %.0f\n",
+      "wasted work %.0f  stops %.0f\n",
       variant.c_str(), row.worth.mean(), row.worth.error(), row.gain.mean(), row.gain.error(), row.classes[0].mean(),
-      row.classes[1].mean(), row.classes[2].mean(), row.late.mean(), row.thrownAway.mean(), row.stops.mean());
+      row.classes[1].mean(), row.classes[2].mean(), row.late.mean(), row.wastedWork.mean(), row.stops.mean());
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
   std::vector<std::string> names;
-  std::string word;
+  std::string patternText;
   std::uint64_t seeds = 20;
   std::uint64_t first = 1;
-  CLI::App app("ways to decide, side by side on seeded loads");
-  app.add_option("--variant", names, "variants to play; all if none is named");
-  app.add_option("--pattern", word, "only patterns whose names hold this");
-  app.add_option("--seeds", seeds, "seeds for each pattern")->check(CLI::Range(1, 10000));
+  CLI::App app("compares variants of the scheduling policy on seeded loads");
+  app.add_option("--variant", names, "variants to run; all if none is named");
+  app.add_option("--pattern", patternText, "only patterns whose names contain this text");
+  app.add_option("--seeds", seeds, "number of seeds for each pattern")->check(CLI::Range(1, 10000));
   app.add_option("--first", first, "first seed");
   CLI11_PARSE(app, argc, argv);
   std::vector<ReplayVariant> variants = allVariants();
@@ -120,23 +121,23 @@
   };
   std::erase_if(variants, [&](const ReplayVariant& variant) { return !isNamed(variant); });
   if (variants.empty()) {
-    std::fprintf(stderr, "no variant has one of these names\n");
+    std::fprintf(stderr, "no variant has one of the given names\n");
     return 2;
   }
   std::vector<Row> total(variants.size());
   const std::size_t patterns = replayPatterns(first).size();
   for (std::size_t p = 0; p < patterns; ++p) {
     const std::string name = replayPatterns(first)[p].name;
-    if (name.find(word) == std::string::npos) continue;
+    if (name.find(patternText) == std::string::npos) continue;
     std::vector<Row> rows(variants.size());
     for (std::uint64_t seed = first; seed < first + seeds; ++seed) {
       const ReplayPattern pattern = replayPatterns(seed)[p];
-      double base = 0.0;
+      double baseWorth = 0.0;
       for (std::size_t v = 0; v < variants.size(); ++v) {
         const ReplayResult result = LoadReplay(pattern, variants[v], seed).play();
-        if (v == 0) base = result.worth();
-        take(rows[v], result, base);
-        take(total[v], result, base);
+        if (v == 0) baseWorth = result.worth();
+        addResult(rows[v], result, baseWorth);
+        addResult(total[v], result, baseWorth);
       }
     }
     std::printf("%s\n", name.c_str());
--- a/bench/replication.cpp
+++ b/bench/replication.cpp
@@ -1,7 +1,8 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// Commit latency and rate on three real replicas against one synced write of the same bytes; time without a leader.
+// Measures commit latency and rate on three real replicas relative to one synced write of the same bytes, and the time
+// without a leader.
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -35,8 +36,8 @@
   return command;
 }
 
-/** Median time of one synced write of a claim's bytes, ms. */
-double syncedWrite() {
+/** \returns the median time of one synced write of the bytes of a claim, ms. */
+double medianSyncedWriteMs() {
   std::string pattern = "/tmp/courseloom-bench-XXXXXX";
   const std::string folder = mkdtemp(pattern.data());
   LogStore store(folder + "/data");
@@ -62,18 +63,20 @@
   return quantile(times, 0.5);
 }
 
-struct Commits {
+/** Latency and rate of commits. */
+struct CommitFigures {
   double medianMs = 0;
   double perSecond = 0;
 };
 
-/** Commits claims from a number of callers at once. */
-Commits commit(const schema::ClusterSettings& cluster, unsigned callers, unsigned each, std::uint64_t first) {
+/** CommitFigures claims from several concurrent callers. \param each number of claims per caller
+ * \param first number of the first claim */
+CommitFigures commit(const schema::ClusterSettings& cluster, unsigned callers, unsigned each, std::uint64_t first) {
   asio::io_context io;
   ControlClient control(io, cluster);
   std::vector<double> times;
   unsigned open = callers;
-  const Time begun = BootClock::now();
+  const Time start = BootClock::now();
   for (unsigned caller = 0; caller < callers; ++caller) {
     auto one = [&, caller]() -> Awaitable<void> {
       for (unsigned i = 0; i < each; ++i) {
@@ -86,12 +89,12 @@
     asio::co_spawn(io, std::move(one), asio::detached);
   }
   io.run_for(std::chrono::seconds(30));
-  const double seconds = toMilliseconds(BootClock::now() - begun) / 1000;
+  const double seconds = toMilliseconds(BootClock::now() - start) / 1000;
   return {quantile(times, 0.5), static_cast<double>(times.size()) / seconds};
 }
 
-/** Virtual time from a leader's crash to the next commit, over seeds, ms. */
-void leaderless() {
+/** Measures the virtual time from a leader's crash to the next commit, over 200 seeds, in simulated clusters. */
+void measureLeaderless() {
   std::vector<double> times;
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     test::ReplicaCluster cluster(3, seed, {0, 0, false, false, false, false, false});
@@ -111,7 +114,8 @@
   figure("leaderless_virtual_p99", quantile(times, 0.99), "ms");
 }
 
-void leaderlessReal(test::Deployment& deployment, const schema::ClusterSettings& cluster) {
+/** Measures the time from the kill of a leader to the next commit, on real processes. */
+void measureLeaderlessReal(test::Deployment& deployment, const schema::ClusterSettings& cluster) {
   std::vector<double> times;
   for (unsigned i = 0; i < 8; ++i) {
     const std::string leader = deployment.leader();
@@ -127,7 +131,8 @@
   figure("leaderless_real_worst", quantile(times, 1.0), "ms");
 }
 
-void snapshotSlope() {
+/** Measures the bytes per claim of a snapshot at two numbers of claims. */
+void measureSnapshotBytes() {
   for (const unsigned count : {1000U, 4000U}) {
     ClusterState state;
     for (unsigned i = 0; i < count; ++i) state.apply(i + 1, claim(i));
@@ -143,19 +148,19 @@
   deployment.setUp();
   schema::Settings settings;
   if (!readYaml(deployment.commonSettings(), "settings", settings) || !checkRequired("settings", settings)) return 1;
-  const double write = syncedWrite();
+  const double write = medianSyncedWriteMs();
   figure("synced_write_median", write, "ms");
-  const Commits single = commit(settings.cluster(), 1, 300, 0);
+  const CommitFigures single = commit(settings.cluster(), 1, 300, 0);
   figure("commit_median_1_caller", single.medianMs, "ms");
   figure("commit_to_write_ratio", single.medianMs / write, "ratio");
   figure("commits_1_caller", single.perSecond, "a_second");
-  const Commits some = commit(settings.cluster(), 16, 100, 10000);
+  const CommitFigures some = commit(settings.cluster(), 16, 100, 10000);
   figure("commits_16_callers", some.perSecond, "a_second");
-  const Commits many = commit(settings.cluster(), 256, 40, 100000);
+  const CommitFigures many = commit(settings.cluster(), 256, 40, 100000);
   figure("commits_256_callers", many.perSecond, "a_second");
   figure("rate_256_to_1_ratio", many.perSecond / single.perSecond, "ratio");
-  leaderless();
-  leaderlessReal(deployment, settings.cluster());
-  snapshotSlope();
+  measureLeaderless();
+  measureLeaderlessReal(deployment, settings.cluster());
+  measureSnapshotBytes();
   return 0;
 }
--- a/bench/requests.cpp
+++ b/bench/requests.cpp
@@ -1,7 +1,8 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// What the path adds to a request: caller to target directly, and through entry and agent; and the rate of refusals.
+// Measures the latency that entry and agent add to a request, compared with a direct call of the target, and the rate
+// of rejections under load.
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -18,24 +19,25 @@
 
 namespace {
 
-struct Run {
+/** Latencies of the requests of one measurement, ms, and its duration. */
+struct LoadResult {
   std::vector<double> answered;
-  std::vector<double> refused;
+  std::vector<double> rejected;
   double seconds = 0;
 };
 
-/** Open loop: requests leave at times fixed beforehand, and each counts from that time. */
-Run openLoop(const std::string& address, const std::string& path, double perSecond, unsigned count,
-             unsigned deadlineMs) {
+/** Sends requests in an open loop: each request has a fixed send time, and its latency is measured from that time. */
+LoadResult openLoop(const std::string& address, const std::string& path, double perSecond, unsigned count,
+                    unsigned deadlineMs) {
   asio::io_context io;
   const std::size_t colon = address.find(':');
   HttpClient client(io, address.substr(0, colon), std::strtoul(address.c_str() + colon + 1, nullptr, 10), 512);
-  Run run;
+  LoadResult result;
   unsigned open = count;
-  const Time begun = BootClock::now() + milliseconds(20);
+  const Time start = BootClock::now() + milliseconds(20);
   for (unsigned i = 0; i < count; ++i) {
     auto one = [&, i]() -> Awaitable<void> {
-      const Time due = begun + Duration(static_cast<std::int64_t>(i * 1e6 / perSecond));
+      const Time due = start + Duration(static_cast<std::int64_t>(i * 1e6 / perSecond));
       asio::steady_timer timer(io);
       timer.expires_after(due - BootClock::now());
       co_await timer.async_wait(asio::use_awaitable);
@@ -45,14 +47,14 @@
       request.body() = "quote";
       auto response = co_await client.exchange("bench", std::move(request), milliseconds(20000), 1 << 20);
       const double ms = toMilliseconds(BootClock::now() - due);
-      (response && response->result_int() == 200 ? run.answered : run.refused).push_back(ms);
+      (response && response->result_int() == 200 ? result.answered : result.rejected).push_back(ms);
       if (--open == 0) io.stop();
     };
     asio::co_spawn(io, std::move(one), asio::detached);
   }
   io.run_for(std::chrono::seconds(60));
-  run.seconds = toMilliseconds(BootClock::now() - begun) / 1000;
-  return run;
+  result.seconds = toMilliseconds(BootClock::now() - start) / 1000;
+  return result;
 }
 
 }  // namespace
@@ -62,26 +64,27 @@
   deployment.setUp();
   const std::string path = "/v1/services/quotes/requests";
   for (int round = 1; round <= 3; ++round) {
-    const Run direct = openLoop(deployment.http("target-1"), "/run", 300, 1200, 2000);
-    const Run through = openLoop(deployment.http("entry-1"), path, 300, 1200, 2000);
+    const LoadResult direct = openLoop(deployment.http("target-1"), "/run", 300, 1200, 2000);
+    const LoadResult through = openLoop(deployment.http("entry-1"), path, 300, 1200, 2000);
     figure("direct_p50", quantile(direct.answered, 0.5), "ms");
     figure("through_p50", quantile(through.answered, 0.5), "ms");
     figure("added_p50", quantile(through.answered, 0.5) - quantile(direct.answered, 0.5), "ms");
     figure("added_p99", quantile(through.answered, 0.99) - quantile(direct.answered, 0.99), "ms");
   }
-  // Two targets of 8 slots at 20 ms hold 800 requests a second, less the slot that each keeps for urgent work.
+  // Two targets with 8 slots at 20 ms serve 800 requests per second, less the slot that each of them reserves for
+  // urgent work.
   deployment.behave("target-1", "slow", 20);
   deployment.behave("target-2", "slow", 20);
   for (const double load : {0.5, 1.0, 2.0}) {
     const double capacity = 2 * 7 / 0.020;
-    const Run run =
+    const LoadResult result =
         openLoop(deployment.http("entry-1"), path, capacity * load, static_cast<unsigned>(capacity * load * 3), 200);
     const std::string prefix = "load_" + std::to_string(load).substr(0, 3);
-    figure((prefix + "_goodput_to_capacity").c_str(), static_cast<double>(run.answered.size()) / 3.0 / capacity,
+    figure((prefix + "_goodput_to_capacity").c_str(), static_cast<double>(result.answered.size()) / 3.0 / capacity,
            "ratio");
-    figure((prefix + "_answered_p99").c_str(), quantile(run.answered, 0.99), "ms");
-    figure((prefix + "_refused").c_str(), static_cast<double>(run.refused.size()), "requests");
-    figure((prefix + "_refused_p99").c_str(), quantile(run.refused, 0.99), "ms");
+    figure((prefix + "_answered_p99").c_str(), quantile(result.answered, 0.99), "ms");
+    figure((prefix + "_refused").c_str(), static_cast<double>(result.rejected.size()), "requests");
+    figure((prefix + "_refused_p99").c_str(), quantile(result.rejected, 0.99), "ms");
   }
   return 0;
 }
--- a/bench/scheduling.cpp
+++ b/bench/scheduling.cpp
@@ -1,7 +1,8 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-// Time of one decision at the sizes of today and of two years ahead, with running work, a queue and guarantees.
+// Measures the time of one decision at the present size of a deployment and at the size expected in two years, with
+// running work, a queue and guarantees.
 
 #include <random>
 #include <string>
@@ -15,15 +16,16 @@
 
 namespace {
 
+/** Size of a measured deployment. */
 struct Size {
   const char* name;
   unsigned workers;
-  unsigned accelerators;  ///< in all
-  unsigned tasks;         ///< running
+  unsigned accelerators;  ///< total over all workers
+  unsigned tasks;         ///< running tasks, at least, before the measurement
   unsigned workspaces;
 };
 
-schema::Job makeJob(unsigned number, unsigned workspaces, unsigned mostTasks, unsigned accelerators,
+schema::Job makeJob(unsigned number, unsigned workspaces, unsigned maxTasks, unsigned accelerators,
                     std::mt19937& random) {
   schema::Job job;
   job.set_id("j" + std::to_string(number));
@@ -33,7 +35,7 @@
   spec->set_checkpointable(true);
   spec->set_urgency(static_cast<schema::Urgency>(random() % 3));
   spec->set_expected_ms(3600000 + random() % 7200000);
-  spec->mutable_shape()->set_tasks(1 + random() % mostTasks);
+  spec->mutable_shape()->set_tasks(1 + random() % maxTasks);
   spec->mutable_shape()->set_accelerators(accelerators);
   spec->mutable_shape()->set_cores(1);
   spec->mutable_shape()->set_adjacency(accelerators > 0 ? schema::SameRack : schema::Anywhere);
@@ -71,7 +73,7 @@
   std::uint64_t now = 2000000;
   unsigned number = 0;
   unsigned running = 0;
-  const auto carryOut = [&](const std::vector<Decision>& decisions) {
+  const auto execute = [&](const std::vector<Decision>& decisions) {
     for (const Decision& decision : decisions) {
       schema::Job& job = jobs.at(decision.job);
       const bool place = decision.kind == DecisionKind::Place;
@@ -92,25 +94,25 @@
       scheduler.updateJob(job);
     }
   };
-  const auto arrive = [&](unsigned mostTasks, unsigned accelerators) {
-    schema::Job job = makeJob(++number, size.workspaces, mostTasks, accelerators, random);
+  const auto addJob = [&](unsigned maxTasks, unsigned accelerators) {
+    schema::Job job = makeJob(++number, size.workspaces, maxTasks, accelerators, random);
     jobs[job.id()] = job;
     scheduler.updateJob(job);
   };
-  // Fill: most tasks need no accelerator; gangs of up to 64 tasks.
+  // Fills the workers with gangs of up to 64 tasks; most tasks need no accelerator.
   for (int round = 0; running < size.tasks && round < 4000; ++round) {
-    for (int i = 0; i < 20; ++i) arrive(64, round % 8 == 0 ? 1 : 0);
-    carryOut(scheduler.decide(now));
+    for (int i = 0; i < 20; ++i) addJob(64, round % 8 == 0 ? 1 : 0);
+    execute(scheduler.decide(now));
   }
   std::vector<double> times;
   for (int i = 0; i < 400; ++i) {
     now += 50;
-    arrive(i % 20 == 0 ? 64 : 4, i % 3 == 0 ? 1 : 0);
+    addJob(i % 20 == 0 ? 64 : 4, i % 3 == 0 ? 1 : 0);
     const Time before = BootClock::now();
     const std::vector<Decision> decisions = scheduler.decide(now);
     times.push_back(toMilliseconds(BootClock::now() - before));
-    carryOut(decisions);
-    // As many end as arrive.
+    execute(decisions);
+    // One job ends for each job that arrives.
     for (auto& [id, job] : jobs) {
       if (job.phase() != schema::JobRunning || job.leases_size() > 4 || random() % 30 != 0) continue;
       running -= static_cast<unsigned>(job.leases_size());
