--- a/spec/claim.pml
+++ b/spec/claim.pml
@@ -1,11 +1,13 @@
-/* Claims: a request that must not be repeated, asked for through two entries, with a lossy way between entry and agent,
- * an agent that may restart and forget, and entries that may stall between any two steps.
+/* Claims: a request that must not be repeated is sent through two entries. Messages between entry and agent may be
+ * lost, the agent may restart and lose its memory, and entries may stall between any two steps.
  *
- * Checked: the target never runs the request twice, and "ran: no" is never said of a request that ran or may yet run.
+ * Checked: the target never runs the request twice, and "ran: no" is never reported for a request that ran or may still
+ * run.
  *
- * Broken variants, each of which must fail: -DNO_TOMBSTONE (the agent answers about an unseen token without making it
- * void), -DNO_INCARNATION (the agent does not look at the incarnation), -DBELIEVE_RESTARTED (a restarted agent is
- * believed about its former life), -DNO_CLAIM (entries dispatch without the log).
+ * Broken variants, each of which must fail: -DNO_TOMBSTONE (the agent answers a query of an unseen token without
+ * tombstoning it), -DNO_INCARNATION (the agent does not compare the incarnation), -DBELIEVE_RESTARTED (the answer of a
+ * restarted agent about a token of its former incarnation is accepted), -DNO_CLAIM (entries dispatch without a claim in
+ * the log).
  */
 #define ENTRIES 2
 #define ATTEMPTS 3
@@ -14,18 +16,18 @@
 mtype = { Absent, Open, Void, Finished, Unknown };
 mtype = { Unseen, Running, Done, Tombstoned };
 
-/* The replicated log: one claim; each step is one committed command. */
+/* The replicated log: one claim. Each step is one committed command. */
 mtype claim = Absent;
 byte attempt = 0;
 byte opener = 0;
 byte tokenIncarnation = 0;
 
-/* The agent's memory, by attempt; lost at a restart. */
+/* The agent's memory of tokens, by attempt; lost at a restart. */
 mtype fate[ATTEMPTS + 1];
 byte incarnation = 1;
 byte restarts = 0;
 
-/* What happened, for the checks. */
+/* History for the checks. */
 byte runs = 0;
 bool saidNo[ENTRIES + 1];
 byte onTheWay = 0;
@@ -44,7 +46,7 @@
   }
 }
 
-/* The answer of an agent that is asked about a token. */
+/* The agent's answer to a query of a token. */
 inline agentResolve(myAttempt, myIncarnation, answer) {
   atomic {
     if
@@ -74,7 +76,7 @@
   do
   :: rounds < ATTEMPTS ->
      rounds++;
-     myIncarnation = incarnation;  /* from its view, which may be old by the time it is used */
+     myIncarnation = incarnation;  /* from the entry's list of targets, which may be outdated when it is used */
      atomic {  /* OpenClaim */
 #ifdef NO_CLAIM
        granted = true; attempt = (attempt < ATTEMPTS -> attempt + 1 : attempt); myAttempt = attempt;
@@ -92,11 +94,11 @@
      if
      :: granted ->
         if
-        :: /* the request is cut before it arrives; the entry knows that nothing left */
+        :: /* the connection fails before the request is sent; the entry knows that nothing was sent */
            atomic { if :: claim == Open && attempt == myAttempt -> claim = Void :: else -> skip fi }
            saidNo[me] = true;
            break
-        :: /* it arrives, perhaps late */
+        :: /* the request arrives, perhaps late */
            agentBegin(myAttempt, myIncarnation, started);
            if
            :: started ->
@@ -105,12 +107,12 @@
                  if
                  :: atomic { if :: claim == Open && attempt == myAttempt -> claim = Finished :: else -> skip fi };
                     break
-                 :: goto ask   /* the answer is lost on its way back */
+                 :: goto ask   /* the answer is lost */
                  fi
-              :: goto ask      /* the way to the agent is cut while it runs */
+              :: goto ask      /* the connection to the agent fails while the request runs */
               fi
            :: else ->
-              /* fenced: this one delivery did not start it */
+              /* fenced: this delivery did not start the request */
               atomic { if :: claim == Open && attempt == myAttempt -> claim = Void :: else -> skip fi }
            fi
         fi
@@ -119,7 +121,7 @@
      :: !granted && claim == Unknown -> break
      :: else -> skip
      fi
-  :: rounds < ATTEMPTS -> break  /* the entry dies here, or its caller goes away */
+  :: rounds < ATTEMPTS -> break  /* the entry crashes here, or its caller disconnects */
   :: rounds >= ATTEMPTS -> break
   od;
   goto done;
@@ -152,14 +154,14 @@
      fi
   :: answer == Unknown ->
      atomic { if :: claim == Open && attempt == myAttempt -> claim = Unknown :: else -> skip fi }
-  :: answer == Running -> skip   /* ran: unknown, ask again */
+  :: answer == Running -> skip   /* "ran: unknown": the query is repeated later */
   fi;
 
 done:
   skip
 }
 
-/* The agent's process dies and comes back: its memory is gone, what the target runs goes on. */
+/* The agent's process crashes and restarts: its memory is lost, and the target continues to run its requests. */
 proctype Restarter() {
   byte i;
   do
@@ -184,7 +186,8 @@
 }
 
 #define atMostOnce (runs <= 1)
-/* An entry that said no to the one dispatch it made: only another entry's own later attempt may have run. */
+/* After an entry reported "ran: no" for its only dispatch, the request can have run only through a later attempt of
+ * another entry. */
 #define noIsTrue (!(saidNo[1] && saidNo[2] && runs > 0 && claim == Void))
 
 ltl rules { [] (atMostOnce && noIsTrue) }
--- a/spec/configuration.pml
+++ b/spec/configuration.pml
@@ -1,23 +1,24 @@
-/* Configuration: two operators race from equal versions and resend commands whose answers were lost; a node follows by
- * deltas from a leader that may change.
+/* Configuration: two operators change the configuration concurrently, starting from the same version, and resend
+ * commands whose answers were lost. A node follows the configuration through deltas from a leader, and the leader may
+ * change.
  *
- * Checked: of two changes from one version one wins; a resent command changes nothing again; what a node has in force
- * never goes back.
+ * Checked: of two changes of the same version only one succeeds; a resent command is not applied a second time; the
+ * revision that a node uses never decreases.
  *
- * Broken variants, each of which must fail: -DNO_COMMAND_ID (a resend is applied anew), -DNO_COMPARE (the version is not
- * looked at), -DNO_ORDER (a node takes an older batch).
+ * Broken variants, each of which must fail: -DNO_COMMAND_ID (a resent command is applied again), -DNO_COMPARE (the
+ * version is not compared), -DNO_ORDER (a node applies an older batch).
  */
 #define OPERATORS 2
 #define CHANGES 6
 
-byte revision = 0;          /* of the one object */
-byte owner = 0;             /* operator whose value holds */
-byte appliedOf[OPERATORS + 1];   /* how often each operator's command took effect */
-bool known[OPERATORS + 1];  /* command ids seen */
+byte revision = 0;          /* revision of the only object */
+byte owner = 0;             /* operator whose value is stored */
+byte appliedOf[OPERATORS + 1];   /* number of times that each operator's command was applied */
+bool known[OPERATORS + 1];  /* command ids that were received */
 bool raced = false;
 byte winners = 0;
 
-byte inForce = 0;           /* at the node */
+byte inForce = 0;           /* revision that the node uses */
 bool wentBack = false;
 
 chan toNode = [3] of { byte };
@@ -26,12 +27,12 @@
   atomic {
     if
 #ifndef NO_COMMAND_ID
-    :: known[me] -> skip   /* its first answer again */
+    :: known[me] -> skip   /* the first answer is repeated */
 #endif
     :: else ->
        if
 #ifndef NO_COMPARE
-       :: base != revision -> skip  /* conflict: told by whom and with what */
+       :: base != revision -> skip  /* conflict: the answer names the other operator and the stored value */
 #endif
        :: else ->
           revision++;
@@ -46,7 +47,7 @@
 
 proctype Operator(byte me) {
   byte resends = 0;
-  /* A resend repeats the command as it was. With OVERWRITES the file names no version and always fits. */
+  /* A resend repeats the command unchanged. With OVERWRITES, the file names no version, so it never conflicts. */
   byte base = 0;
   apply(me, base);
   do
@@ -60,7 +61,7 @@
   od
 }
 
-/* Leaders send what they have applied; a former leader's batch may still be on its way. */
+/* Leaders send the revision that they have applied; a batch of a former leader may still be in transit. */
 proctype Leader() {
   byte sent = 0;
   do
@@ -77,7 +78,7 @@
      taken++;
      if
      :: toNode ? batch
-     :: toNode ?? batch    /* late and out of order */
+     :: toNode ?? batch    /* delayed and out of order */
      :: timeout -> break
      fi;
 #ifndef NO_ORDER
--- a/spec/gang.pml
+++ b/spec/gang.pml
@@ -1,11 +1,11 @@
-/* Gang start and fencing: a leader reserves every lease of a gang, then starts all; another leader takes over at any
- * step, and the former one may wake up and go on. A worker may be lost.
+/* Gang start and fencing: a leader reserves every lease of a gang and then starts all tasks. Another leader may take
+ * over at any step, and the former leader may resume after a stall and continue. A worker may be lost.
  *
- * Checked: no task starts before every lease of its gang is reserved; orders of a former term have no effect; a job that
- * must not be repeated starts each task at most once; in the end either all tasks ran or none is left running.
+ * Checked: no task starts before every lease of its gang is reserved; orders of a former term have no effect; a job
+ * that must not be repeated starts each task at most once; at the end, either all tasks ran or none is left running.
  *
- * Broken variants, each of which must fail: -DNO_TERM (workers take orders of any term), -DNO_RESERVE (tasks start as
- * leases come), -DNO_NUMBER (a start that is sent again starts again).
+ * Broken variants, each of which must fail: -DNO_TERM (workers accept orders of any term), -DNO_RESERVE (tasks start
+ * without waiting until all leases are reserved), -DNO_NUMBER (a start order that is sent again starts the task again).
  */
 #define TASKS 2
 #define LEADERS 2
@@ -14,18 +14,18 @@
 mtype = { None, Reserved, Started, Stopped };
 
 mtype phase = Queued;       /* committed in the log */
-byte logTerm = 1;           /* the newest term that has committed anything */
+byte logTerm = 1;           /* the newest term in which an entry was committed */
 
-mtype lease[TASKS];         /* at the workers */
-byte seenTerm = 1;          /* the newest term the platform has seen */
+mtype lease[TASKS];         /* state of the leases at the workers */
+byte seenTerm = 1;          /* the newest term that the platform has received */
 byte starts[TASKS];
-bool early = false;         /* a task started before all were reserved */
+bool early = false;         /* a task started before all leases were reserved */
 bool stale = false;         /* an order of a former term took effect after a newer one */
-byte current = 1;           /* the leader by right */
+byte current = 1;           /* term of the legitimate leader */
 
 #define allReserved ((lease[0] != None) && (lease[1] != None))
 
-/* One order to the platform. */
+/* One order to the platform: a reservation. */
 inline reserveOrder(term, t) {
   atomic {
     if
@@ -78,7 +78,7 @@
   }
 }
 
-/* A commit succeeds only for the leader by right, and only from the phase it knows. */
+/* A commit succeeds only for the legitimate leader, and only from the phase that this leader expects. */
 inline commit(term, from, to, ok) {
   atomic {
     ok = (term == current && phase == from);
@@ -103,13 +103,13 @@
 #endif
         if
         :: allReserved -> commit(term, Reserving, Starting, ok)
-        :: true -> commit(term, Reserving, Stopping, ok)   /* one was late or refused */
+        :: true -> commit(term, Reserving, Stopping, ok)   /* a lease was late or rejected */
         fi
      :: seen == Starting ->
         for (t : 0 .. TASKS - 1) { startOrder(term, t) };
         if
         :: (lease[0] == Started && lease[1] == Started) -> commit(term, Starting, RunningAll, ok)
-        :: true -> commit(term, Starting, Stopping, ok)    /* a member is lost */
+        :: true -> commit(term, Starting, Stopping, ok)    /* a member of the gang was lost */
         fi
      :: seen == RunningAll -> commit(term, RunningAll, Stopping, ok)
      :: seen == Stopping ->
@@ -120,7 +120,7 @@
         fi
      :: seen == Ended -> break
      fi
-  :: term == LEADERS -> skip       /* the last leader goes on */
+  :: term == LEADERS -> skip       /* the last leader continues */
   :: term < LEADERS && current > term -> break  /* a former leader stops at any later step */
   od
 }
--- a/spec/replication.pml
+++ b/spec/replication.pml
@@ -1,13 +1,15 @@
-/* Replication with lost disks: three replicas, elections and copies in any order, a disk that is wiped, the members entry
- * that drops it, and a second loss after that entry is committed and before redundancy is back.
+/* Replication with lost disks: three replicas, with elections and log copies in any order. One disk is wiped, an entry
+ * that changes the members removes its replica, and a second disk is lost after this entry is committed and before
+ * redundancy is restored.
  *
- * An entry is its term, plus MARK * (1 + replica) if it drops that replica. A wiped disk may be written to, but its vote and
- * its acknowledgement do not count.
+ * An entry is represented by its term, plus MARK * (1 + replica) if it removes that replica. A wiped disk may be
+ * written to, but its vote and its acknowledgement do not count.
  *
- * Checked: whatever was committed stays in the log of each later leader, and on at least one disk that was not lost.
+ * Checked: every committed entry stays in the log of each later leader, and on at least one disk that was not lost.
  *
- * Broken variants, each of which must fail: -DWIPED_VOTES (a wiped disk's vote and acknowledgement count), -DTWO_AT_ONCE (the
- * second disk is lost before the entry that drops the first is committed: the window that three replicas leave open).
+ * Broken variants, each of which must fail: -DWIPED_VOTES (vote and acknowledgement of a wiped disk count),
+ * -DTWO_AT_ONCE (the second disk is lost before the entry that removes the first replica is committed; three replicas
+ * do not protect against this case).
  */
 #define N 3
 #define LEN 3
@@ -17,11 +19,11 @@
 byte log[9];        /* log[replica * LEN + index] */
 byte size[N];
 byte term[N];
-byte leads[N];      /* the term in which it leads; 0 if it does not */
+byte leads[N];      /* the term in which the replica is leader; 0 if it is not */
 bool wiped[N];
 byte wipes = 0;
 
-byte committed[LEN];  /* what was ever acknowledged */
+byte committed[LEN];  /* all entries that were ever acknowledged */
 byte committedLen = 0;
 bool dropCommitted = false;
 bool lost = false;
@@ -30,7 +32,7 @@
 byte votes; byte voters; byte need;
 bool ok; bool member; bool other;
 
-/* member := is `who` a voter in the members that replica `by` knows? */
+/* member := whether `who` is a voter in the members that replica `by` knows. */
 inline isMember(by, who) {
   member = true;
   k = 0;
@@ -40,7 +42,7 @@
   od
 }
 
-/* ok := the log of `by` holds everything that was committed. */
+/* ok := whether the log of `by` contains all committed entries. */
 inline holdsCommitted(by) {
   ok = (size[by] >= committedLen);
   k = 0;
@@ -62,7 +64,7 @@
 
 inline pick(x) { if :: x = 0 :: x = 1 :: x = 2 fi }
 
-/* other := is the log of `a` at least as new as that of `b`? */
+/* other := whether the log of `a` is at least as new as that of `b`. */
 inline upToDate(a, b) {
   if
   :: size[b] == 0 -> other = true
@@ -73,7 +75,7 @@
   fi
 }
 
-/* Replica i asks for votes; which of the others it reaches is open. */
+/* Replica i requests votes; any subset of the other replicas may be reachable. */
 inline elect() {
   isMember(i, i);
   if
@@ -98,7 +100,7 @@
 #else
                  if :: !wiped[m] -> votes++ :: else -> skip fi
 #endif
-              :: skip  /* out of reach */
+              :: skip  /* not reachable */
               fi
            :: else -> skip
            fi
@@ -122,7 +124,7 @@
   fi
 }
 
-/* The leader's whole log reaches j. */
+/* Replica j receives the leader's whole log. */
 inline copy() {
   if
   :: i != j && leads[i] == term[i] && leads[i] > 0 && term[j] <= term[i] ->
@@ -138,7 +140,7 @@
   fi
 }
 
-/* The leader commits all it has, if a quorum of its voters holds it in its term. */
+/* The leader commits its whole log if a quorum of its voters holds the same log in the leader's term. */
 inline commit() {
   if
   :: leads[i] == term[i] && leads[i] > 0 && size[i] > 0 && log[i * LEN + size[i] - 1] % MARK == term[i] ->
@@ -200,7 +202,7 @@
      wiped[j] = true;
      size[j] = 0; term[j] = 0; leads[j] = 0;
      log[j * LEN] = 0; log[j * LEN + 1] = 0; log[j * LEN + 2] = 0;
-     /* Somewhere a disk that was not lost must hold all that was acknowledged. */
+     /* At least one disk that was not lost must hold all acknowledged entries. */
      other = false;
      m = 0;
      do
