--- a/cmake/Precompiled.h
+++ b/cmake/Precompiled.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-// Slow headers, read once for each build.
+// Headers that are slow to compile; precompiled once per build.
 #include <boost/asio/as_tuple.hpp>
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
