--- a/Courseloom/src/Control/ControlService.cpp
+++ b/Courseloom/src/Control/ControlService.cpp
@@ -438,7 +438,7 @@
 
 Awaitable<Result<schema::WatchReply>> ControlService::watch(schema::WatchRequest request) {
   if (!leads()) co_return fail(m_driver.noLeader("watch"));
-  m_nodes.heard(request.node(), BootClock::now());
+  m_nodes.recordHeartbeat(request.node(), BootClock::now());
   const bool leavingBefore = m_nodes.isLeaving(request.node());
   const Time end = BootClock::now() + milliseconds(request.wait_ms());
   while (leads() && !hasUpdates(request) && BootClock::now() < end && !m_stopping) {
--- a/Courseloom/src/Membership/NodeTable.cpp
+++ b/Courseloom/src/Membership/NodeTable.cpp
@@ -25,7 +25,7 @@
 }  // namespace
 }  // namespace internal
 
-void NodeTable::heard(const schema::NodeStatus& node, Time now) {
+void NodeTable::recordHeartbeat(const schema::NodeStatus& node, Time now) {
   const auto found = m_nodes.find(node.name());
   if (found != m_nodes.end() && internal::is_stale(node, found->second.status)) return;
   const bool isAgent = node.role() == schema::AgentRole;
--- a/Courseloom/src/Membership/NodeTable.h
+++ b/Courseloom/src/Membership/NodeTable.h
@@ -27,7 +27,7 @@
 
   /** Records a heartbeat, unless a later heartbeat of the same agent has already arrived. Such a stale heartbeat does
    * not renew the lease of the node. */
-  void heard(const schema::NodeStatus& node, Time now);
+  void recordHeartbeat(const schema::NodeStatus& node, Time now);
   /** Removes the nodes whose last heartbeat is as old as the lease or older. */
   void expire(Time now);
   /** Sets the names of the instances that leave according to the platform. */
