--- a/Courseloom/src/Agent/AgentService.cpp
+++ b/Courseloom/src/Agent/AgentService.cpp
@@ -300,7 +300,7 @@
 
 Awaitable<std::size_t> AgentService::stop() {
   m_stopping = true;
-  co_await m_follower.sayLeaving();
+  co_await m_follower.announceLeaving();
   const Duration limit = milliseconds(m_context.settings.agent().drain_limit_ms());
   const std::size_t cut =
       co_await drainToZero([this] { return m_rpc.inFlight() + m_running.load() + m_queued.load(); }, limit);
--- a/Courseloom/src/Control/ReplicaDriver.cpp
+++ b/Courseloom/src/Control/ReplicaDriver.cpp
@@ -173,7 +173,7 @@
   while (true) {
     co_await sleepFor(internal::JoinInterval);
     const Time now = BootClock::now();
-    if (now < m_replica->leaderHeard(now) + internal::JoinSilence) continue;
+    if (now < m_replica->lastLeaderContact(now) + internal::JoinSilence) continue;
     for (const ReplicaId id : memberIds()) m_joinContacts.insert(id);
     for (const ReplicaId id : m_joinContacts) asio::co_spawn(m_strand, requestJoin(id), asio::detached);
   }
@@ -251,10 +251,10 @@
 
 void ReplicaDriver::drive() {
   updateRole();
-  send(m_replica->takeMessages());
+  send(m_replica->consumeMessages());
   if (m_storing) return;
   if (snapshotDue()) return takeSnapshot();
-  ReplicaOutput output = m_replica->takeOutput();
+  ReplicaOutput output = m_replica->consumeOutput();
   if (output.empty()) return;
   if (output.needsSync()) return store(std::move(output));
   finish(output);
--- a/Courseloom/src/Membership/ViewFollower.cpp
+++ b/Courseloom/src/Membership/ViewFollower.cpp
@@ -109,7 +109,7 @@
   }
 }
 
-Awaitable<void> ViewFollower::sayLeaving() {
+Awaitable<void> ViewFollower::announceLeaving() {
   m_stopped = true;
   schema::WatchRequest request = makeRequest();
   request.mutable_node()->set_leaving(true);
--- a/Courseloom/src/Membership/ViewFollower.h
+++ b/Courseloom/src/Membership/ViewFollower.h
@@ -33,7 +33,7 @@
   /** Starts following the leader. */
   void start();
   /** Stops following the leader and sends a last heartbeat that reports this node as leaving. */
-  Awaitable<void> sayLeaving();
+  Awaitable<void> announceLeaving();
 
   const RcuPointer<View>& view() const { return m_view; }
   /** \returns whether the freshness lease is valid: the leader has answered a request sent within its length. */
--- a/Courseloom/src/Replication/Replica.cpp
+++ b/Courseloom/src/Replication/Replica.cpp
@@ -498,13 +498,13 @@
   m_log.compact(std::move(snapshot));
 }
 
-ReplicaOutput Replica::takeOutput() {
+ReplicaOutput Replica::consumeOutput() {
   ReplicaOutput output = std::move(m_output);
   m_output = ReplicaOutput();
   return output;
 }
 
-std::vector<schema::ReplicaMessage> Replica::takeMessages() {
+std::vector<schema::ReplicaMessage> Replica::consumeMessages() {
   std::vector<schema::ReplicaMessage> messages = std::move(m_output.messages);
   m_output.messages.clear();
   return messages;
--- a/Courseloom/src/Replication/Replica.h
+++ b/Courseloom/src/Replication/Replica.h
@@ -18,12 +18,11 @@
  * Implements pre-vote and check-quorum (chapters 9.6 and 6.2), the leader lease (6.4.1), leadership transfer (3.10),
  * single-server membership changes (4.1) and snapshots (5).
  *
- * The class uses no clock, socket, file or thread: calls receive the current time, and takeOutput() returns the actions
- * that the caller has to perform.
- * In addition to Raft, a member is identified by its replica number and the identity of its disk. A vote or an
- * acknowledgement counts only if it carries the disk identity listed in the members, so a replica with a wiped disk has
- * no vote. The leader adds the new disk as a learner, brings its log up to date and promotes it to a voter.
- * \sa ReplicaOutput, LogStore
+ * The class uses no clock, socket, file or thread: calls receive the current time, and consumeOutput() returns the
+ * actions that the caller has to perform. In addition to Raft, a member is identified by its replica number and the
+ * identity of its disk. A vote or an acknowledgement counts only if it carries the disk identity listed in the members,
+ * so a replica with a wiped disk has no vote. The leader adds the new disk as a learner, brings its log up to date and
+ * promotes it to a voter. \sa ReplicaOutput, LogStore
  */
 class Replica {
  public:
@@ -56,15 +55,15 @@
   void addPeer(ReplicaId id, Time now);
   /** \returns time of the last contact with the leader: `now` on the leader itself. Before the first contact it
    * is the start time of this replica, or zero without ReplicaMechanisms::waitAfterStart. */
-  Time leaderHeard(Time now) const { return isLeader() ? now : m_lastLeaderContact; }
+  Time lastLeaderContact(Time now) const { return isLeader() ? now : m_lastLeaderContact; }
   /** Replaces the snapshot and removes the entries that it covers. Ignored if the snapshot is not newer than the
    * present one or covers uncommitted entries. */
   void compact(schema::Snapshot snapshot);
   /** \returns the actions that have accumulated since the last call. */
-  ReplicaOutput takeOutput();
+  ReplicaOutput consumeOutput();
   /** \returns and removes from the output the messages that need no sync, so that a slow disk does not delay
    * heartbeats. */
-  std::vector<schema::ReplicaMessage> takeMessages();
+  std::vector<schema::ReplicaMessage> consumeMessages();
   const schema::HardState& hardState() const { return m_hard; }
 
   ReplicaRole role() const { return m_role; }
--- a/test/ReplicaCluster.cpp
+++ b/test/ReplicaCluster.cpp
@@ -102,10 +102,10 @@
 void ReplicaCluster::pump(std::size_t index) {
   Node& node = m_nodes[index];
   if (!node.replica) return;
-  send(index, node.replica->takeMessages());
+  send(index, node.replica->consumeMessages());
   if (node.syncing) return;
   maybeCompact(index);
-  ReplicaOutput output = node.replica->takeOutput();
+  ReplicaOutput output = node.replica->consumeOutput();
   if (output.empty()) return;
   send(index, output.messages);
   output.messages.clear();
