--- a/Courseloom/src/Control/ControlService.cpp
+++ b/Courseloom/src/Control/ControlService.cpp
@@ -28,7 +28,7 @@
 }  // namespace
 }  // namespace internal
 
-ControlService::ControlService(const DaemonContext& context, ControlEdges edges)
+ControlService::ControlService(const DaemonContext& context, ControlProtocol edges)
     : m_context(context),
       m_edges(std::move(edges)),
       m_strand(asio::make_strand(context.io)),
--- a/Courseloom/src/Control/ControlService.h
+++ b/Courseloom/src/Control/ControlService.h
@@ -13,10 +13,10 @@
 
 namespace courseloom {
 
-/** \class ControlEdges
+/** \class ControlProtocol
  * \brief Parts of the deployment's protocol that a control replica serves; empty functions where it serves none.
  */
-struct ControlEdges {
+struct ControlProtocol {
   /** Makes the client of the advice service. */
   std::function<std::unique_ptr<AdvicePort>(const DaemonContext&)> makeAdvice;
   /** Answers an operator's HTTP request. \param port port on which the operators' endpoint listens */
@@ -30,7 +30,7 @@
 class ControlService : public Service, private ConfigurationGateway {
  public:
   /** \param edges handlers of the deployment's protocol */
-  explicit ControlService(const DaemonContext& context, ControlEdges edges = {});
+  explicit ControlService(const DaemonContext& context, ControlProtocol edges = {});
   Result<Listening> start() override;
   Awaitable<std::size_t> stop() override;
   void reload(const schema::Settings& settings) override;
@@ -65,7 +65,7 @@
   HttpResponse answerHttp(const HttpRequest& request) const;
 
   DaemonContext m_context;
-  ControlEdges m_edges;
+  ControlProtocol m_edges;
   ControlStrand m_strand;
   ReplicaDriver m_driver;
   JobRunner m_jobs;
--- a/daemons/control.cpp
+++ b/daemons/control.cpp
@@ -46,7 +46,7 @@
   };
   program.runCommand = runCommand;
   program.makeService = [](const courseloom::DaemonContext& context) {
-    courseloom::ControlEdges protocol;
+    courseloom::ControlProtocol protocol;
     protocol.makeAdvice = courseloom::platform::makeAdvicePort;
     protocol.answerOperator = courseloom::platform::answerOperator;
     return std::make_unique<courseloom::ControlService>(context, std::move(protocol));
