--- a/Courseloom/src/Agent/AgentService.cpp
+++ b/Courseloom/src/Agent/AgentService.cpp
@@ -60,7 +60,7 @@
           }),
       m_incarnation(m_tokens.incarnation()) {}
 
-Result<Listening> AgentService::start() {
+Result<ListeningPorts> AgentService::start() {
   const schema::NodeSettings& node = m_context.settings.node();
   m_rpc.handle<schema::RunRequest>("run", [this](schema::RunRequest request, std::string) {
     return asio::co_spawn(m_strand, run(std::move(request)), asio::use_awaitable);
--- a/Courseloom/src/Agent/AgentService.h
+++ b/Courseloom/src/Agent/AgentService.h
@@ -28,7 +28,7 @@
 class AgentService : public Service {
  public:
   explicit AgentService(const DaemonContext& context);
-  Result<Listening> start() override;
+  Result<ListeningPorts> start() override;
   Awaitable<std::size_t> stop() override;
 
  private:
@@ -66,7 +66,7 @@
   std::atomic<unsigned> m_running{0};
   std::atomic<unsigned> m_queued{0};
   std::atomic<bool> m_stopping{false};
-  Listening m_listening;
+  ListeningPorts m_listening;
 };
 
 }  // namespace courseloom
--- a/Courseloom/src/Agent/RunAgentService.cpp
+++ b/Courseloom/src/Agent/RunAgentService.cpp
@@ -66,10 +66,10 @@
       m_agentIncarnation(internal::random_incarnation()),
       m_waitMs(context.settings.runner().attend_ms()) {}
 
-Result<Listening> RunAgentService::start() {
+Result<ListeningPorts> RunAgentService::start() {
   const schema::NodeSettings& node = m_context.settings.node();
   const Endpoint edge = splitEndpoint(m_context.settings.edge().control_endpoint());
-  Listening listening;
+  ListeningPorts listening;
   BOOST_LEAF_CHECK(m_registration.start(edge.address, edge.port));
   BOOST_LEAF_ASSIGN(listening.httpPort, m_http.start(node.address(), node.http_port()));
   BOOST_LEAF_ASSIGN(listening.rpcPort, m_relay.start(node));
--- a/Courseloom/src/Agent/RunAgentService.h
+++ b/Courseloom/src/Agent/RunAgentService.h
@@ -50,7 +50,7 @@
 class RunAgentService : public Service, private TargetRegistry {
  public:
   RunAgentService(const DaemonContext& context, RunAgentProtocol protocol);
-  Result<Listening> start() override;
+  Result<ListeningPorts> start() override;
   Awaitable<std::size_t> stop() override;
   void reload(const schema::Settings& settings) override;
 
--- a/Courseloom/src/Control/ControlService.cpp
+++ b/Courseloom/src/Control/ControlService.cpp
@@ -44,7 +44,7 @@
         return m_edges.answerOperator(std::move(request), *this, m_edgePort);
       }) {}
 
-Result<Listening> ControlService::start() {
+Result<ListeningPorts> ControlService::start() {
   const schema::NodeSettings& node = m_context.settings.node();
   BOOST_LEAF_CHECK(m_driver.open());
   m_driver.onApplied([this] {
@@ -60,7 +60,7 @@
     m_changed.notify();
   });
   registerHandlers();
-  Listening listening;
+  ListeningPorts listening;
   BOOST_LEAF_ASSIGN(listening.rpcPort, m_rpc.start(node.address(), node.rpc_port()));
   BOOST_LEAF_ASSIGN(listening.httpPort, m_http.start(node.address(), node.http_port()));
   BOOST_LEAF_CHECK(startEdge());
--- a/Courseloom/src/Control/ControlService.h
+++ b/Courseloom/src/Control/ControlService.h
@@ -31,7 +31,7 @@
  public:
   /** \param edges handlers of the deployment's protocol */
   explicit ControlService(const DaemonContext& context, ControlProtocol edges = {});
-  Result<Listening> start() override;
+  Result<ListeningPorts> start() override;
   Awaitable<std::size_t> stop() override;
   void reload(const schema::Settings& settings) override;
 
--- a/Courseloom/src/Entry/EntryService.cpp
+++ b/Courseloom/src/Entry/EntryService.cpp
@@ -46,7 +46,7 @@
         co_return m_protocol.answerReadiness(request, ready());
       }) {}
 
-Result<Listening> EntryService::start() {
+Result<ListeningPorts> EntryService::start() {
   const schema::NodeSettings& node = m_context.settings.node();
   BOOST_LEAF_ASSIGN(m_listening.httpPort, m_http.start(node.address(), node.http_port()));
   BOOST_LEAF_CHECK(startProtocolListeners());
--- a/Courseloom/src/Entry/EntryService.h
+++ b/Courseloom/src/Entry/EntryService.h
@@ -23,7 +23,7 @@
 class EntryService : public Service {
  public:
   explicit EntryService(const DaemonContext& context, EntryProtocol protocol = {});
-  Result<Listening> start() override;
+  Result<ListeningPorts> start() override;
   Awaitable<std::size_t> stop() override;
   void reload(const schema::Settings& settings) override;
 
@@ -43,7 +43,7 @@
   HttpServer m_http;       ///< courseloom's own HTTP interface
   HttpServer m_callers;    ///< queue calls in the deployment's protocol
   HttpServer m_readiness;  ///< readiness probes in the deployment's protocol
-  Listening m_listening;
+  ListeningPorts m_listening;
   std::atomic<bool> m_stopping{false};
 };
 
--- a/Courseloom/src/Runtime/Daemon.cpp
+++ b/Courseloom/src/Runtime/Daemon.cpp
@@ -56,7 +56,7 @@
 }
 
 /** Prints the ready line with a single write(), because the log's own thread writes to the same file. */
-void print_ready(const schema::NodeSettings& node, const Listening& listening) {
+void print_ready(const schema::NodeSettings& node, const ListeningPorts& listening) {
   std::ostringstream line;
   line << "ready name=" << node.name();
   if (listening.rpcPort != 0) line << " rpc=" << node.address() << ":" << listening.rpcPort;
@@ -83,7 +83,7 @@
 
 /** Reads the files again and passes the settings to the service. Invalid settings are logged and not applied. */
 void reload_settings(const DaemonProgram& program, const std::vector<std::string>& files, Service& service) {
-  Result<schema::Settings> settings = readSettings(files, program.needSections);
+  Result<schema::Settings> settings = readSettings(files, program.addRequiredSections);
   if (!settings) return logFailure(schema::SettingsRefused, extractFailure(settings));
   logEvent(schema::SettingsReloaded);
   service.reload(*settings);
@@ -120,7 +120,7 @@
   const DaemonContext context{io, settings, metrics};
   const std::unique_ptr<Service> service = program.makeService(context);
   asio::signal_set signals(io, SIGTERM, SIGINT);
-  Result<Listening> listening = service->start();
+  Result<ListeningPorts> listening = service->start();
   if (!listening) {
     const Failure failure = extractFailure(listening);
     logFailure(schema::ProcessFailed, failure);
@@ -147,11 +147,11 @@
 }  // namespace internal
 
 Result<schema::Settings> readSettings(const std::vector<std::string>& files,
-                                      const std::function<void(schema::Settings&)>& needSections) {
+                                      const std::function<void(schema::Settings&)>& addRequiredSections) {
   schema::Settings settings;
   for (const std::string& file : files) BOOST_LEAF_CHECK(readYamlFile(file, settings));
   settings.mutable_log();
-  needSections(settings);
+  addRequiredSections(settings);
   BOOST_LEAF_CHECK(checkRequired(files.back(), settings));
   BOOST_LEAF_CHECK(internal::check_cluster(files.back(), settings));
   return settings;
@@ -177,7 +177,7 @@
     const int code = app.exit(error);
     return code == 0 ? ExitSuccess : ExitUsage;
   }
-  Result<schema::Settings> settings = readSettings(files, program.needSections);
+  Result<schema::Settings> settings = readSettings(files, program.addRequiredSections);
   if (!settings) return internal::report_failure(program.name, extractFailure(settings), ExitSettings);
   if (checkOnly) {
     std::cout << "settings are valid\n";
--- a/Courseloom/src/Runtime/Daemon.h
+++ b/Courseloom/src/Runtime/Daemon.h
@@ -34,10 +34,10 @@
   Histograms& metrics;
 };
 
-/** \class Listening
+/** \class ListeningPorts
  * \brief Ports on which a service listens, for the ready line.
  */
-struct Listening {
+struct ListeningPorts {
   unsigned rpcPort = 0;  ///< 0 if the service has no RPC port
   unsigned httpPort = 0;
 };
@@ -49,7 +49,7 @@
  public:
   virtual ~Service() = default;
   /** Starts serving. \returns the ports on which the service listens */
-  virtual Result<Listening> start() = 0;
+  virtual Result<ListeningPorts> start() = 0;
   /** Stops gracefully: accepts no new requests and waits for those in progress until the drain limit. \returns number
    * of requests that were still in progress at the limit */
   virtual Awaitable<std::size_t> stop() = 0;
@@ -64,7 +64,7 @@
   std::string name;
   std::string description;
   /** Creates the settings sections that the daemon requires, so that they are checked and get their defaults. */
-  std::function<void(schema::Settings&)> needSections;
+  std::function<void(schema::Settings&)> addRequiredSections;
   std::function<std::unique_ptr<Service>(const DaemonContext&)> makeService;
   /** Runs the command of a further option, such as --init. \returns the exit code to end with, or nothing to go on and
    * serve */
@@ -76,9 +76,9 @@
 int runDaemon(const DaemonProgram& program, int argc, char** argv);
 
 /** Reads settings files, in which later files override keys of earlier ones, and checks the result. \param files at
- * least one file \param needSections creates the sections that the daemon requires */
+ * least one file \param addRequiredSections creates the sections that the daemon requires */
 Result<schema::Settings> readSettings(const std::vector<std::string>& files,
-                                      const std::function<void(schema::Settings&)>& needSections);
+                                      const std::function<void(schema::Settings&)>& addRequiredSections);
 
 /** Answers /healthz, /readyz and /metrics. \param ready whether /readyz answers 200 or 503 \returns nothing for other
  * paths */
--- a/daemons/agent.cpp
+++ b/daemons/agent.cpp
@@ -21,7 +21,7 @@
   courseloom::DaemonProgram program;
   program.name = "courseloom-agent";
   program.description = "Agent of courseloom: guards the target beside it";
-  program.needSections = [](courseloom::schema::Settings& settings) {
+  program.addRequiredSections = [](courseloom::schema::Settings& settings) {
     if (!settings.has_runner()) settings.mutable_agent();
   };
   program.makeService = makeService;
--- a/daemons/control.cpp
+++ b/daemons/control.cpp
@@ -33,7 +33,7 @@
   courseloom::DaemonProgram program;
   program.name = "courseloom-control";
   program.description = "Control replica of courseloom: the replicated log and the decisions of its leader";
-  program.needSections = [](courseloom::schema::Settings& settings) {
+  program.addRequiredSections = [](courseloom::schema::Settings& settings) {
     settings.mutable_control();
     // Gangs run on a platform's workers and need its settings; workflows run through agents and do not.
     if (!settings.has_edge()) settings.mutable_platform();
--- a/daemons/entry.cpp
+++ b/daemons/entry.cpp
@@ -8,7 +8,7 @@
   courseloom::DaemonProgram program;
   program.name = "courseloom-entry";
   program.description = "Entry of courseloom: HTTP for callers and operators";
-  program.needSections = [](courseloom::schema::Settings& settings) { settings.mutable_entry(); };
+  program.addRequiredSections = [](courseloom::schema::Settings& settings) { settings.mutable_entry(); };
   program.makeService = [](const courseloom::DaemonContext& context) {
     courseloom::EntryProtocol protocol;
     protocol.answerCaller = courseloom::platform::answerCaller;
--- a/test/platform_formats.cpp
+++ b/test/platform_formats.cpp
@@ -118,20 +118,20 @@
   for (const char* born : {R"("1780703512345")", "1780703512345.5", "-5", "true", "[]", "{}"}) {
     const std::string body = std::string(R"({"seq":1,"born":)") + born + "}";
     cr_expect_not(bool(readAnnouncement("i-1", body)), "%s", born);
-    cr_expect_not(bool(readFarewell("i-1", body)), "%s", born);
+    cr_expect_not(bool(readDeregistration("i-1", body)), "%s", born);
     const std::string answer = std::string(R"({"clock_ms":5,"running":[],"finished":[],"born":)") + born + "}";
-    cr_expect_not(bool(readTargetLook(200, answer)), "%s", born);
+    cr_expect_not(bool(readHoldAnswer(200, answer)), "%s", born);
   }
   cr_assert_not(bool(readAnnouncement("i-1@1780703512345", R"({"seq":1})")),
                 "an identity in the form of an incarnation");
   cr_assert_not(bool(readAnnouncement("", R"({"seq":1})")));
-  Result<TargetIncarnation> farewell = readFarewell("i-1", R"({"born":7})");
+  Result<TargetIncarnation> farewell = readDeregistration("i-1", R"({"born":7})");
   cr_assert(farewell && farewell->name() == "i-1@7");
-  Result<TargetIncarnation> bare = readFarewell("i-1", "");
+  Result<TargetIncarnation> bare = readDeregistration("i-1", "");
   cr_assert(bare && bare->name() == "i-1");
   const TargetIncarnation incarnation = TargetIncarnation::named("i-1@7");
   cr_assert(incarnation.id == "i-1" && incarnation.startTimeMs == 7);
-  Result<TargetAnswer> answer = readTargetLook(200, R"({"clock_ms":5,"running":[],"finished":[],"born":7})");
+  Result<TargetAnswer> answer = readHoldAnswer(200, R"({"clock_ms":5,"running":[],"finished":[],"born":7})");
   cr_assert(answer && answer->startTimeMs == 7);
 }
 
@@ -181,13 +181,13 @@
                                 R"({"clock_ms":5,"running":[],"finished":[[1,)" + own + R"(,1,"gone",""]]})",
                                 R"({"clock_ms":5,"running":[],"finished":[["1",)" + own + R"(,1,"done",""]]})",
                                 R"({"clock_ms":5,"running":[],"finished":[[1,)" + own + R"(]]})"};
-  for (const std::string& body : bodies) cr_expect_not(bool(readTargetLook(200, body)), "%s", body.c_str());
+  for (const std::string& body : bodies) cr_expect_not(bool(readHoldAnswer(200, body)), "%s", body.c_str());
   const std::string none = R"({"clock_ms":5,"running":[],"finished":[]})";
-  cr_assert(bool(readTargetLook(200, none)));
+  cr_assert(bool(readHoldAnswer(200, none)));
   const std::string row = R"({"clock_ms":5,"running":[],"finished":[[1,)" + own + R"(,1,"done",""]]})";
-  Result<TargetAnswer> answer = readTargetLook(200, row);
+  Result<TargetAnswer> answer = readHoldAnswer(200, row);
   cr_assert(answer && answer->ends.size() == 1);
-  Result<TargetAnswer> refused = readTargetLook(503, "<html>");
+  Result<TargetAnswer> refused = readHoldAnswer(503, "<html>");
   cr_assert(refused && refused->verdict == TargetVerdict::Refused);
 }
 
@@ -215,8 +215,8 @@
     }
     return R"({"clock_ms":5,"running":[],"finished":[)" + rows + "]}";
   };
-  Result<TargetAnswer> whole = readTargetLook(200, answer(499));
+  Result<TargetAnswer> whole = readHoldAnswer(200, answer(499));
   cr_assert(whole && !whole->moreEnds);
-  Result<TargetAnswer> cut = readTargetLook(200, answer(500));
+  Result<TargetAnswer> cut = readHoldAnswer(200, answer(500));
   cr_assert(cut && cut->moreEnds);
 }
