--- a/Courseloom/src/Control/WorkflowRunTimes.cpp
+++ b/Courseloom/src/Control/WorkflowRunTimes.cpp
@@ -81,7 +81,7 @@
   for (const auto& [key, track] : m_ledger.runs()) {
     const WorkflowState* workflow = table().find(key.workflow);
     const std::optional<double> whole = workflow == nullptr ? std::nullopt : fullRunTimeMs(key, track);
-    if (whole) m_runTimeEstimator.ran(stepOfRuns(*workflow, key.task.stepKey()), track.target, *whole, wallClockMs());
+    if (whole) m_runTimeEstimator.ran(observedStep(*workflow, key.task.stepKey()), track.target, *whole, wallClockMs());
   }
   m_runTimeEstimator.closeAll();
   logSpeedChanges();
--- a/Courseloom/src/State/RunTimeEstimator.cpp
+++ b/Courseloom/src/State/RunTimeEstimator.cpp
@@ -54,7 +54,7 @@
   return pace.slowness > 0.0 ? TargetSpeed::Slow : TargetSpeed::Fast;
 }
 
-void RunTimeEstimator::ran(const StepOfRuns& step, const std::string& target, double fullRunMs, std::uint64_t nowMs) {
+void RunTimeEstimator::ran(const ObservedStep& step, const std::string& target, double fullRunMs, std::uint64_t nowMs) {
   if (fullRunMs <= 0.0 || step.estimateMs <= 0.0) return;
   OpenStep& open = m_open[step.name];
   open.info = step;
@@ -118,7 +118,7 @@
 void RunTimeEstimator::learn(const OpenStep& step) {
   std::vector<Observation> observations = observationsOf(step);
   clampStepEffects(observations);
-  const StepOfRuns& info = step.info;
+  const ObservedStep& info = step.info;
   double weight = 1.0 / internal::StepVariance;
   double sum = weight * std::log(m_times.expectedMs(info.queue, info.estimateMs) / info.estimateMs);
   for (const Observation& observation : observations) {
--- a/Courseloom/src/State/RunTimeEstimator.h
+++ b/Courseloom/src/State/RunTimeEstimator.h
@@ -28,10 +28,10 @@
 /** \returns the class of a target's speed: Usual if its absolute slowdown is below 0.1 or below its standard error. */
 TargetSpeed speedOf(const TargetSlowdown& pace);
 
-/** \class StepOfRuns
+/** \class ObservedStep
  * \brief The properties of a step that its tasks' run times depend on.
  */
-struct StepOfRuns {
+struct ObservedStep {
   std::string name;         ///< "WORKFLOW.OCCURRENCE.STEP"
   std::string queue;        ///< queue whose run times are learnt from the step
   double estimateMs = 0.0;  ///< estimated run time of one task, as submitted; 0 if there is none
@@ -59,7 +59,7 @@
   /** Records the run time of a task; a run time or an estimate of the step that is not above 0 is ignored.
    * \param fullRunMs time that the whole task takes on the target from its beginning to its end, ms
    * \param nowMs wall clock, ms since 1970 */
-  void ran(const StepOfRuns& step, const std::string& target, double fullRunMs, std::uint64_t nowMs);
+  void ran(const ObservedStep& step, const std::string& target, double fullRunMs, std::uint64_t nowMs);
   /** Updates the estimates from the steps of a workflow that has ended, and removes these steps. */
   void closeWorkflow(const std::string& workflow);
   /** Updates the estimates from the runs so far of all open steps, and removes the steps. Meant for short-lived copies,
@@ -92,7 +92,7 @@
     std::uint64_t lastSeenMs = 0;  ///< lastSeenMs of the step that updated it last
   };
   struct OpenStep {
-    StepOfRuns info;
+    ObservedStep info;
     std::map<std::string, std::vector<double>> logTimes;  ///< logarithms of run times in ms, by target
     std::uint64_t lastSeenMs = 0;                         ///< when its newest run was recorded, ms since 1970
   };
--- a/Courseloom/src/State/WorkflowTable.cpp
+++ b/Courseloom/src/State/WorkflowTable.cpp
@@ -39,7 +39,7 @@
          std::to_string(id.index());
 }
 
-StepOfRuns stepOfRuns(const WorkflowState& workflow, const StepKey& key) {
+ObservedStep observedStep(const WorkflowState& workflow, const StepKey& key) {
   const schema::StepSpec& step = workflow.step(key.step);
   const std::string name = workflow.record.id() + "." + std::to_string(key.occurrence) + "." + std::to_string(key.step);
   return {name, workflow.record.queue(), static_cast<double>(step.estimate_ms()), step.gang()};
@@ -233,7 +233,7 @@
                                   const schema::RunEnd& end, std::uint64_t timeMs) {
   if (end.kind() == schema::RunTargetLost) return m_runTimeEstimator.forget(run.target());
   const StepKey step = keyOf(end.task()).stepKey();
-  m_runTimeEstimator.ran(stepOfRuns(workflow, step), run.target(), static_cast<double>(end.whole_ms()), timeMs);
+  m_runTimeEstimator.ran(observedStep(workflow, step), run.target(), static_cast<double>(end.whole_ms()), timeMs);
 }
 
 /** Marks a task as done. All members of a gang are done when one of them is. */
--- a/Courseloom/src/State/WorkflowTable.h
+++ b/Courseloom/src/State/WorkflowTable.h
@@ -93,7 +93,7 @@
 };
 
 /** \returns the properties of a step that its tasks' run times depend on. */
-StepOfRuns stepOfRuns(const WorkflowState& workflow, const StepKey& key);
+ObservedStep observedStep(const WorkflowState& workflow, const StepKey& key);
 
 /** \class RunChange
  * \brief One committed start or end of a run.
--- a/test/LoadReplay.cpp
+++ b/test/LoadReplay.cpp
@@ -402,7 +402,7 @@
 
 // ---- planning
 
-StepOfRuns LoadReplay::stepOf(const Run& run) const {
+ObservedStep LoadReplay::stepOf(const Run& run) const {
   const schema::Workflow& record = m_jobs[run.job].workflow.record;
   const auto estimateMs = static_cast<double>(record.spec().steps(0).estimate_ms());
   return {record.id() + ".0.0", record.queue(), estimateMs, !run.gang.empty()};
--- a/test/LoadReplay.h
+++ b/test/LoadReplay.h
@@ -207,7 +207,7 @@
   void complete(const Run& run);
   void stopRun(Run& run, bool lost);
   void plan();
-  StepOfRuns stepOf(const Run& run) const;
+  ObservedStep stepOf(const Run& run) const;
   void updateEstimates();
   TargetSlowdown slowdownOf(std::size_t target) const;
   std::vector<PlannedTarget> planTargets() const;
--- a/test/run_time_estimator.cpp
+++ b/test/run_time_estimator.cpp
@@ -29,7 +29,7 @@
   /** Runs one gang on some targets, with an inaccurate estimate. */
   void runGang(const std::vector<std::size_t>& targets) {
     const double workMs = UsualMs * logNormal(0.5);
-    const StepOfRuns step{nextStep(), "urgent", workMs * logNormal(0.5), true};
+    const ObservedStep step{nextStep(), "urgent", workMs * logNormal(0.5), true};
     for (const std::size_t t : targets)
       runTimeEstimator.ran(step, name(t), workMs * factors[t] * logNormal(0.02), ++m_nowMs);
     runTimeEstimator.closeWorkflow(std::to_string(m_steps));
@@ -38,7 +38,7 @@
    */
   void runSingleTasks(const std::vector<std::size_t>& targets, std::size_t each) {
     const double workMs = 4.0 * UsualMs * logNormal(0.3);
-    const StepOfRuns step{nextStep(), "bulk", workMs * logNormal(0.2), false};
+    const ObservedStep step{nextStep(), "bulk", workMs * logNormal(0.2), false};
     for (const std::size_t t : targets) {
       for (std::size_t i = 0; i < each; ++i) {
         const double stragglerFactor = m_random() % 30 == 0 ? 7.0 : 1.0;
@@ -105,7 +105,7 @@
 Test(run_time_estimator, one_straggler_does_not_make_its_target_slow) {
   SimulatedTargets simulated({1.0, 1.0, 1.0, 1.0});
   for (int round = 0; round < 5; ++round) simulated.runGang({0, 1, 2, 3});
-  const StepOfRuns step{"straggling.0.0", "bulk", 4000.0, false};
+  const ObservedStep step{"straggling.0.0", "bulk", 4000.0, false};
   for (const char* target : {"t0", "t1", "t2", "t3"}) {
     simulated.runTimeEstimator.ran(step, target, std::string(target) == "t3" ? 28000.0 : 4000.0, 100);
   }
