--- a/Courseloom/src/Control/WorkflowPlanning.cpp
+++ b/Courseloom/src/Control/WorkflowPlanning.cpp
@@ -231,7 +231,7 @@
     target.awaited = m_ledger.awaited(track, now);
     target.single = trusted && m_health.onProbation(target.id, now);
     target.penalty = m_health.penalty(target.id, now);
-    if (learnsRunTimes()) target.pace = m_runTimeEstimator.slowdownOf(target.id);
+    if (learnsRunTimes()) target.slowdown = m_runTimeEstimator.slowdownOf(target.id);
   }
   courseloom_assert(planned == m_planTargets.end());
   return m_planTargets;
--- a/Courseloom/src/Scheduling/Placer.cpp
+++ b/Courseloom/src/Scheduling/Placer.cpp
@@ -76,7 +76,7 @@
 double Placer::speedCost(const StepDemand& demand, std::size_t target) const {
   if (!m_options.speeds) return 0.0;
   const double late = m_options.lateCost * lateChance(demand, target);
-  const double slowness = m_targets[target].pace.slowness;
+  const double slowness = m_targets[target].slowdown.slowness;
   if (demand.isUrgent()) return late + m_options.slowTargetCost * slowness;
   if (!m_options.slowByUrgentLateness) return late - m_options.slowTargetDiscount * slowness;
   return late - m_options.slowTargetDiscount * internal::chance_on(m_urgentLateChances, target);
--- a/Courseloom/src/Scheduling/TargetIndex.cpp
+++ b/Courseloom/src/Scheduling/TargetIndex.cpp
@@ -90,7 +90,7 @@
   if (isNew) {
     const LateChance chance(step * internal::LimitStep);
     chances.reserve(size());
-    for (const PlannedTarget& target : *m_targets) chances.push_back(chance.on(target.pace));
+    for (const PlannedTarget& target : *m_targets) chances.push_back(chance.on(target.slowdown));
     if (internal::nearly_equal(chances)) chances.clear();
   }
   return chances.empty() ? nullptr : &chances;
--- a/bench/planning.cpp
+++ b/bench/planning.cpp
@@ -31,7 +31,7 @@
   std::vector<double> times;
   RunPlan plan;
   PlannerLoad load = PlannerLoad::full(targets, backlog, 1);
-  for (std::size_t i = 0; unlike && i < targets; ++i) load.targets[i].pace = Slowdowns[i % Slowdowns.size()];
+  for (std::size_t i = 0; unlike && i < targets; ++i) load.targets[i].slowdown = Slowdowns[i % Slowdowns.size()];
   RunPlanner planner;
   for (int round = 0; round < Rounds; ++round) {
     const Time before = BootClock::now();
--- a/test/LoadReplay.cpp
+++ b/test/LoadReplay.cpp
@@ -448,7 +448,7 @@
     target.capacity = Capacity;
     target.open = isOpen(i) && trials.count(i) == 0;
     target.awaited = target.open;
-    target.pace = slowdownOf(i);
+    target.slowdown = slowdownOf(i);
   }
   return targets;
 }
--- a/test/run_planner.cpp
+++ b/test/run_planner.cpp
@@ -509,7 +509,7 @@
 
 Test(run_planner, an_urgent_gang_avoids_a_target_that_would_make_it_late) {
   PlannerInput input(4);
-  input.target(1).pace = Slow;
+  input.target(1).slowdown = Slow;
   input.addWaitingStep(3, 8, UrgentRank, true).objectiveMs = NowMs + 3250.0;
   const RunPlan plan = input.plan();
   cr_assert_eq(plan.starts.size(), 3);
@@ -518,14 +518,14 @@
 
 Test(run_planner, an_urgent_gang_uses_slow_targets_if_it_does_not_fit_otherwise) {
   PlannerInput input(4);
-  input.target(1).pace = Slow;
+  input.target(1).slowdown = Slow;
   input.addWaitingStep(4, 8, UrgentRank, true).objectiveMs = NowMs + 3250.0;
   cr_assert_eq(input.plan().starts.size(), 4);
 }
 
 Test(run_planner, urgent_work_that_is_late_on_all_targets_starts_on_a_free_slow_one) {
   PlannerInput input(2);
-  input.target(0).pace = Slow;
+  input.target(0).slowdown = Slow;
   input.addRun(1, 8, GuaranteedRank);
   input.addWaitingStep(1, 8, UrgentRank).objectiveMs = NowMs - 5000.0;
   cr_assert(startsOn(input.plan(), 0));
@@ -533,7 +533,7 @@
 
 Test(run_planner, guaranteed_work_that_waited_starts_on_a_slow_target) {
   PlannerInput input(2);
-  input.target(0).pace = Slow;
+  input.target(0).slowdown = Slow;
   input.addRun(1, 8, GuaranteedRank);
   PlannedStep& step = input.addWaitingStep(1, 8, GuaranteedRank);
   step.objectiveMs = NowMs + 3250.0;
@@ -544,8 +544,8 @@
 
 Test(run_planner, other_work_uses_slow_targets_and_leaves_fast_ones_free) {
   PlannerInput input(4);
-  for (const std::size_t fast : {0, 1, 3}) input.target(fast).pace = Fast;
-  input.target(2).pace = Slow;
+  for (const std::size_t fast : {0, 1, 3}) input.target(fast).slowdown = Fast;
+  input.target(2).slowdown = Slow;
   input.addWaitingStep(1, 8, rankOf(1, false)).objectiveMs = NowMs + 20000.0;
   cr_assert(startsOn(input.plan(), 2));
 }
@@ -554,7 +554,7 @@
 // over all racks.
 Test(run_planner, other_work_is_packed_if_urgent_work_ends_in_time_on_any_target) {
   PlannerInput input(4);
-  input.target(3).pace = {0.1, 0.02};
+  input.target(3).slowdown = {0.1, 0.02};
   input.addRun(0, 4, rankOf(1, false));
   input.addWaitingStep(1, 4, rankOf(1, false)).objectiveMs = NowMs + 20000.0;
   cr_assert(startsOn(input.plan(), 0));
@@ -585,7 +585,7 @@
   std::vector<PlannedTarget> targets(3);
   TargetIndex equalTargets(targets);
   cr_assert_null(equalTargets.lateChances(0.0));
-  targets[1].pace = {0.5, 0.05};
+  targets[1].slowdown = {0.5, 0.05};
   TargetIndex unequalTargets(targets);
   const std::vector<double>* chances = unequalTargets.lateChances(0.2);
   cr_assert_not_null(chances);
@@ -599,7 +599,7 @@
 // so that a cache keyed by the bare address would confuse them.
 Test(run_planner, cached_fast_targets_of_one_step_are_not_used_for_another) {
   PlannerInput input(20);
-  for (std::size_t i = 0; i < 20; i += 2) input.target(i).pace = Slow;
+  for (std::size_t i = 0; i < 20; i += 2) input.target(i).slowdown = Slow;
   for (std::size_t i = 0; i < 10; ++i) {
     PlannedStep& step = input.addWaitingStep(1, 8, UrgentRank);
     step.objectiveMs = NowMs + 3250.0;
