--- a/bench/crashes.cpp
+++ b/bench/crashes.cpp
@@ -32,9 +32,9 @@
   add("never", CrashRule::Never, false);
   add("two-lost", CrashRule::TwoLost, false);
   add("three-lost", CrashRule::ThreeLost, false);
-  add("present-without-trials", CrashRule::Present, false);
+  add("present-without-trials", CrashRule::Current, false);
   add("two-alone", CrashRule::TwoAlone, true);
-  add("present", CrashRule::Present, true);
+  add("present", CrashRule::Current, true);
   return rules;
 }
 
@@ -46,7 +46,7 @@
   for (const auto& [name, rule] : named) {
     ReplayVariant& variant = rules.emplace_back();
     variant.name = name;
-    variant.together = rule;
+    variant.commonCauseRule = rule;
   }
   return rules;
 }
@@ -80,7 +80,7 @@
     std::vector<Row> rows(rules.size());
     for (std::uint64_t seed = first; seed < first + seeds; ++seed) {
       const ReplayPattern pattern = patterns(seed)[p];
-      for (std::size_t v = 0; v < rules.size(); ++v) rows[v].add(LoadReplay(pattern, rules[v], seed).play());
+      for (std::size_t v = 0; v < rules.size(); ++v) rows[v].add(LoadReplay(pattern, rules[v], seed).simulate());
     }
     std::printf("%s\n", patterns(first)[p].name.c_str());
     for (std::size_t v = 0; v < rules.size(); ++v) {
--- a/bench/policies.cpp
+++ b/bench/policies.cpp
@@ -87,7 +87,7 @@
   row.gain.add(result.worth() - baseWorth);
   for (std::size_t i = 0; i < ReplayClasses; ++i) {
     const ReplayResult::Class& workClass = result.classes[i];
-    if (workClass.owed > 0.0) row.classes[i].add(workClass.earned / workClass.owed);
+    if (workClass.attainable > 0.0) row.classes[i].add(workClass.earned / workClass.attainable);
   }
   row.late.add(result.classes[0].late + result.classes[0].unfinished);
   row.wastedWork.add(result.thrownAway);
@@ -134,7 +134,7 @@
       const ReplayPattern pattern = replayPatterns(seed)[p];
       double baseWorth = 0.0;
       for (std::size_t v = 0; v < variants.size(); ++v) {
-        const ReplayResult result = LoadReplay(pattern, variants[v], seed).play();
+        const ReplayResult result = LoadReplay(pattern, variants[v], seed).simulate();
         if (v == 0) baseWorth = result.worth();
         addResult(rows[v], result, baseWorth);
         addResult(total[v], result, baseWorth);
--- a/test/LoadReplay.cpp
+++ b/test/LoadReplay.cpp
@@ -65,13 +65,13 @@
 }  // namespace
 
 double ReplayResult::worth() const {
-  double owed = 0.0;
+  double attainable = 0.0;
   double earned = 0.0;
   for (const Class& one : classes) {
-    owed += one.owed;
+    attainable += one.attainable;
     earned += one.earned;
   }
-  return owed > 0.0 ? earned / owed : 0.0;
+  return attainable > 0.0 ? earned / attainable : 0.0;
 }
 
 LoadReplay::LoadReplay(const ReplayPattern& pattern, const ReplayVariant& variant, std::uint64_t seed)
@@ -80,7 +80,7 @@
       m_planner(variant.planner),
       m_speeds(variant.speeds),
       m_crashRule(variant.crashes),
-      m_commonCauseRule(variant.together),
+      m_commonCauseRule(variant.commonCauseRule),
       m_trials(variant.trials) {
   m_targets.resize(pattern.targets);
   for (std::size_t i = 0; i < m_targets.size(); ++i) {
@@ -101,7 +101,7 @@
   }
 }
 
-ReplayResult LoadReplay::play() {
+ReplayResult LoadReplay::simulate() {
   for (m_nowMs = 0.0; m_nowMs < m_pattern.durationMs; m_nowMs += StepMs) {
     addArrivals();
     advanceRuns();
@@ -113,9 +113,9 @@
   for (const Job& job : m_jobs) {
     m_result.mostStarts = std::max(m_result.mostStarts, job.startsAfterThirdCrash);
     if (job.givenUp) ++(job.crashing ? m_result.givenUp : m_result.falselyGivenUp);
-    if (job.crashing) continue;  // counts neither as owed nor as earned
+    if (job.crashing) continue;  // counts neither as attainable nor as earned
     ReplayResult::Class& results = m_result.classes[static_cast<std::size_t>(job.kind)];
-    results.owed += job.worth;
+    results.attainable += job.worth;
     const WorkflowProfile& profile = profileOf(job.kind);
     const double objectiveMs = profile.stretch * job.workMs + profile.latencyMs;
     const double tookMs = job.endedMs - job.dueMs;
@@ -315,7 +315,7 @@
       return crashes.size() >= 3;
     case CrashRule::TwoAlone:
       return soleStarts >= 2 || state->crashes.shouldGiveUp();
-    case CrashRule::Present:
+    case CrashRule::Current:
       break;
   }
   return state->crashes.shouldGiveUp();
--- a/test/LoadReplay.h
+++ b/test/LoadReplay.h
@@ -77,8 +77,8 @@
   Never,
   TwoLost,    ///< after two targets were lost while it ran, at any time after its start
   ThreeLost,  ///< the same with three targets
-  TwoAlone,   ///< after two targets crashed right after its start, with no other recent start there, or as Present
-  Present,    ///< the rule of CrashRecord
+  TwoAlone,   ///< after two targets crashed right after its start, with no other recent start there, or as Current
+  Current,    ///< the rule of CrashRecord
 };
 
 /** Rule for when crashes at the same moment are attributed to a cause other than the runs that had run there for a
@@ -102,9 +102,9 @@
   std::string name;
   RunPlannerOptions planner;
   SpeedsKnown speeds = SpeedsKnown::FromRuns;
-  CrashRule crashes = CrashRule::Present;
+  CrashRule crashes = CrashRule::Current;
   bool trials = true;  ///< suspect tasks get trial starts
-  TogetherRule together = TogetherRule::OtherWork;
+  TogetherRule commonCauseRule = TogetherRule::OtherWork;
 };
 
 /** \class ReplayResult
@@ -112,7 +112,7 @@
  */
 struct ReplayResult {
   struct Class {
-    double owed = 0.0;        ///< worth of all workflows if each ended in time
+    double attainable = 0.0;  ///< worth of all workflows if each ended in time
     double earned = 0.0;      ///< worth of the workflows that ended, reduced for late ones
     unsigned ended = 0;       ///< number of workflows that ended, late ones included
     unsigned late = 0;        ///< number of workflows that ended after their objective
@@ -128,7 +128,7 @@
   unsigned falselyGivenUp = 0;  ///< number of other workflows given up
   unsigned suspected = 0;       ///< number of lost runs that crashed no target and yet were counted against their tasks
   unsigned mostStarts = 0;      ///< maximum number of starts of one task after the third crash that it caused
-  /** \returns earned as a share of owed over all classes, 0 to 1; 0 if nothing is owed. */
+  /** \returns earned as a share of attainable over all classes, 0 to 1; 0 if nothing is attainable. */
   double worth() const;
 };
 
@@ -144,7 +144,7 @@
  public:
   LoadReplay(const ReplayPattern& pattern, const ReplayVariant& variant, std::uint64_t seed);
   /** Runs the whole replay; called once. \returns its results */
-  ReplayResult play();
+  ReplayResult simulate();
 
  private:
   struct Target {
--- a/test/load_replay.cpp
+++ b/test/load_replay.cpp
@@ -24,7 +24,7 @@
 double meanWorth(const std::string& pattern, const RunPlannerOptions& options, std::uint64_t seeds) {
   double sum = 0.0;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-    sum += LoadReplay(patternNamed(pattern, seed), {"", options}, seed).play().worth();
+    sum += LoadReplay(patternNamed(pattern, seed), {"", options}, seed).simulate().worth();
   }
   return sum / static_cast<double>(seeds);
 }
@@ -33,8 +33,8 @@
 
 Test(load_replay, the_same_seed_gives_the_same_result) {
   const ReplayPattern pattern = patternNamed("withdrawals", 3);
-  const ReplayResult first = LoadReplay(pattern, {}, 3).play();
-  const ReplayResult second = LoadReplay(pattern, {}, 3).play();
+  const ReplayResult first = LoadReplay(pattern, {}, 3).simulate();
+  const ReplayResult second = LoadReplay(pattern, {}, 3).simulate();
   cr_assert(first.worth() == second.worth());
   cr_assert(first.thrownAway == second.thrownAway);
   cr_assert(first.stops == second.stops);
@@ -59,9 +59,9 @@
   for (std::uint64_t seed = 1; seed <= 2; ++seed) {
     const ReplayPattern pattern = wavePatterns(seed, 80)[2];
     ReplayVariant share;
-    share.together = TogetherRule::AnEighth;
-    byShare += LoadReplay(pattern, share, seed).play().suspected;
-    byOthers += LoadReplay(pattern, {}, seed).play().suspected;
+    share.commonCauseRule = TogetherRule::AnEighth;
+    byShare += LoadReplay(pattern, share, seed).simulate().suspected;
+    byOthers += LoadReplay(pattern, {}, seed).simulate().suspected;
   }
   cr_assert_lt(2 * byOthers, byShare, "%u runs suspected, %u by the share of all targets", byOthers, byShare);
 }
--- a/test/trials.cpp
+++ b/test/trials.cpp
@@ -59,12 +59,12 @@
 ReplayResult replay(const std::string& name, CrashRule rule, std::uint64_t seeds) {
   ReplayVariant variant;
   variant.crashes = rule;
-  variant.trials = rule == CrashRule::Present;
+  variant.trials = rule == CrashRule::Current;
   ReplayResult sum;
   for (std::uint64_t seed = firstSeed(); seed < firstSeed() + seeds; ++seed) {
     for (const ReplayPattern& pattern : crashPatterns(seed)) {
       if (pattern.name != name) continue;
-      const ReplayResult result = LoadReplay(pattern, variant, seed).play();
+      const ReplayResult result = LoadReplay(pattern, variant, seed).simulate();
       sum.givenUp += result.givenUp;
       sum.falselyGivenUp += result.falselyGivenUp;
       sum.mostStarts = std::max(sum.mostStarts, result.mostStarts);
@@ -154,7 +154,7 @@
 // Tasks that crash targets are given up within two starts after the third crash, and no other tasks are.
 Test(trials, on_loads_with_tasks_that_crash_targets_only_those_are_given_up) {
   for (const char* name : {"tasks crash targets", "tasks crash few targets", "tasks crash targets late"}) {
-    const ReplayResult result = replay(name, CrashRule::Present, seedCount(4));
+    const ReplayResult result = replay(name, CrashRule::Current, seedCount(4));
     cr_assert(result.mostStarts <= CrashRecord::StartsLeft, "%s: %u starts", name, result.mostStarts);
     cr_assert_eq(result.falselyGivenUp, 0, "%s", name);
     cr_assert_gt(result.givenUp, 0, "%s", name);
@@ -164,6 +164,6 @@
 // If 40% of the targets crash every 3 s, a rule that counts each lost target gives up workflows that crash nothing.
 Test(trials, on_loads_with_crashing_targets_no_workflow_is_given_up) {
   const std::string name = "targets crash in waves";
-  cr_assert_eq(replay(name, CrashRule::Present, seedCount(4)).falselyGivenUp, 0);
+  cr_assert_eq(replay(name, CrashRule::Current, seedCount(4)).falselyGivenUp, 0);
   cr_assert_gt(replay(name, CrashRule::TwoLost, seedCount(4)).falselyGivenUp, 0);
 }
