--- a/bench/crashes.cpp
+++ b/bench/crashes.cpp
@@ -40,9 +40,9 @@
 
 std::vector<ReplayVariant> simultaneousCrashRules() {
   std::vector<ReplayVariant> rules;
-  const std::vector<std::pair<const char*, TogetherRule>> named{{"an-eighth", TogetherRule::AnEighth},
-                                                                {"any-three", TogetherRule::Three},
-                                                                {"other-work", TogetherRule::OtherWork}};
+  const std::vector<std::pair<const char*, CommonCauseRule>> named{{"an-eighth", CommonCauseRule::AnEighth},
+                                                                   {"any-three", CommonCauseRule::Three},
+                                                                   {"other-work", CommonCauseRule::OtherWork}};
   for (const auto& [name, rule] : named) {
     ReplayVariant& variant = rules.emplace_back();
     variant.name = name;
@@ -58,7 +58,7 @@
   unsigned lostRuns = 0;
   unsigned givenUp = 0;
   unsigned falselyGivenUp = 0;
-  unsigned mostStarts = 0;
+  unsigned maxStarts = 0;
   unsigned suspected = 0;
 
   void add(const ReplayResult& result) {
@@ -67,7 +67,7 @@
     lostRuns += result.lostRuns;
     givenUp += result.givenUp;
     falselyGivenUp += result.falselyGivenUp;
-    mostStarts = std::max(mostStarts, result.mostStarts);
+    maxStarts = std::max(maxStarts, result.maxStarts);
     suspected += result.suspected;
   }
 };
@@ -89,7 +89,7 @@
           "starts "
           "%u\n",
           rules[v].name.c_str(), rows[v].worth / static_cast<double>(seeds), rows[v].crashes, rows[v].lostRuns,
-          rows[v].suspected, rows[v].givenUp, rows[v].falselyGivenUp, rows[v].mostStarts);
+          rows[v].suspected, rows[v].givenUp, rows[v].falselyGivenUp, rows[v].maxStarts);
     }
     std::fflush(stdout);
   }
--- a/test/LoadReplay.cpp
+++ b/test/LoadReplay.cpp
@@ -111,7 +111,7 @@
     plan();
   }
   for (const Job& job : m_jobs) {
-    m_result.mostStarts = std::max(m_result.mostStarts, job.startsAfterThirdCrash);
+    m_result.maxStarts = std::max(m_result.maxStarts, job.startsAfterThirdCrash);
     if (job.givenUp) ++(job.crashing ? m_result.givenUp : m_result.falselyGivenUp);
     if (job.crashing) continue;  // counts neither as attainable nor as earned
     ReplayResult::Class& results = m_result.classes[static_cast<std::size_t>(job.kind)];
@@ -229,10 +229,10 @@
 /** \returns whether crashes of several targets are attributed to a cause other than a run that is lost with one of
  * them. \param crashing targets that crash now */
 bool LoadReplay::hasOutsideCause(const Run& run, const std::vector<std::size_t>& crashing) const {
-  if (m_commonCauseRule == TogetherRule::AnEighth) {
+  if (m_commonCauseRule == CommonCauseRule::AnEighth) {
     return crashing.size() >= std::max<std::size_t>(3, m_targets.size() / 8);
   }
-  if (m_commonCauseRule == TogetherRule::Three) return crashing.size() >= 3;
+  if (m_commonCauseRule == CommonCauseRule::Three) return crashing.size() >= 3;
   std::set<std::size_t> targetsOfJob;
   for (const Run& other : m_runs) {
     if (other.job == run.job) targetsOfJob.insert(other.target);
--- a/test/LoadReplay.h
+++ b/test/LoadReplay.h
@@ -83,7 +83,7 @@
 
 /** Rule for when crashes at the same moment are attributed to a cause other than the runs that had run there for a
  * while. */
-enum class TogetherRule : std::uint8_t {
+enum class CommonCauseRule : std::uint8_t {
   AnEighth,   ///< if an eighth of all targets crashes, at least three
   Three,      ///< if any three targets crash
   OtherWork,  ///< the rule of RunLedger: if targets crash that ran no task of the same workflow
@@ -104,7 +104,7 @@
   SpeedsKnown speeds = SpeedsKnown::FromRuns;
   CrashRule crashes = CrashRule::Current;
   bool trials = true;  ///< suspect tasks get trial starts
-  TogetherRule commonCauseRule = TogetherRule::OtherWork;
+  CommonCauseRule commonCauseRule = CommonCauseRule::OtherWork;
 };
 
 /** \class ReplayResult
@@ -127,7 +127,7 @@
   unsigned givenUp = 0;         ///< number of workflows given up that have a task that crashes targets
   unsigned falselyGivenUp = 0;  ///< number of other workflows given up
   unsigned suspected = 0;       ///< number of lost runs that crashed no target and yet were counted against their tasks
-  unsigned mostStarts = 0;      ///< maximum number of starts of one task after the third crash that it caused
+  unsigned maxStarts = 0;       ///< maximum number of starts of one task after the third crash that it caused
   /** \returns earned as a share of attainable over all classes, 0 to 1; 0 if nothing is attainable. */
   double worth() const;
 };
@@ -233,7 +233,7 @@
   RunPlanner m_planner;
   SpeedsKnown m_speeds;
   CrashRule m_crashRule;
-  TogetherRule m_commonCauseRule;
+  CommonCauseRule m_commonCauseRule;
   bool m_trials;
   RunTimeEstimator m_endedRunsEstimator;  ///< fed with ended runs
   RunTimeEstimator m_runTimeEstimator;    ///< the same plus active runs, if the variant uses them
--- a/test/load_replay.cpp
+++ b/test/load_replay.cpp
@@ -59,7 +59,7 @@
   for (std::uint64_t seed = 1; seed <= 2; ++seed) {
     const ReplayPattern pattern = wavePatterns(seed, 80)[2];
     ReplayVariant share;
-    share.commonCauseRule = TogetherRule::AnEighth;
+    share.commonCauseRule = CommonCauseRule::AnEighth;
     byShare += LoadReplay(pattern, share, seed).simulate().suspected;
     byOthers += LoadReplay(pattern, {}, seed).simulate().suspected;
   }
--- a/test/trials.cpp
+++ b/test/trials.cpp
@@ -67,7 +67,7 @@
       const ReplayResult result = LoadReplay(pattern, variant, seed).simulate();
       sum.givenUp += result.givenUp;
       sum.falselyGivenUp += result.falselyGivenUp;
-      sum.mostStarts = std::max(sum.mostStarts, result.mostStarts);
+      sum.maxStarts = std::max(sum.maxStarts, result.maxStarts);
       sum.crashes += result.crashes;
     }
   }
@@ -155,7 +155,7 @@
 Test(trials, on_loads_with_tasks_that_crash_targets_only_those_are_given_up) {
   for (const char* name : {"tasks crash targets", "tasks crash few targets", "tasks crash targets late"}) {
     const ReplayResult result = replay(name, CrashRule::Current, seedCount(4));
-    cr_assert(result.mostStarts <= CrashRecord::StartsLeft, "%s: %u starts", name, result.mostStarts);
+    cr_assert(result.maxStarts <= CrashRecord::StartsLeft, "%s: %u starts", name, result.maxStarts);
     cr_assert_eq(result.falselyGivenUp, 0, "%s", name);
     cr_assert_gt(result.givenUp, 0, "%s", name);
   }
