--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -12,7 +12,7 @@
 #include <thread>
 
 #include "bench/Figures.h"
-#include "test/AgentCrowd.h"
+#include "test/SimulatedAgents.h"
 #include "test/WorkflowDeployment.h"
 
 using namespace courseloom;
@@ -47,7 +47,7 @@
 }
 
 /** Adds a run for every second agent, as under moderate load. */
-void addRuns(WorkflowDeployment& deployment, const AgentCrowd& crowd, std::size_t agents) {
+void addRuns(WorkflowDeployment& deployment, const SimulatedAgents& crowd, std::size_t agents) {
   const std::size_t wanted = agents / 2;
   const std::string body = job(static_cast<unsigned>(wanted), LongRunMs, false, AcceleratorsOfTarget);
   deployment.until(200, "POST", "/q/00000000feed0001", body);
@@ -70,8 +70,8 @@
   row.agents = agents;
   WorkflowDeployment deployment(0);
   deployment.setUp();
-  AgentCrowd crowd(deployment.cluster(), agents);
-  waitFor([&] { return crowd.attendedSince(1) == agents; });
+  SimulatedAgents crowd(deployment.cluster(), agents);
+  waitFor([&] { return crowd.agentsWithLeaseSince(1) == agents; });
   addRuns(deployment, crowd, agents);
   const unsigned leader = deployment.leader();
   const auto pidOf = [&](unsigned replica) { return deployment.process("control-" + std::to_string(replica)).pid(); };
@@ -89,7 +89,7 @@
   const std::uint64_t term = *crowd.terms().rbegin();
   deployment.kill("control-" + std::to_string(leader));
   row.electedMs = waitFor([&] { return *crowd.terms().rbegin() > term; });
-  row.allAnsweredMs = row.electedMs + waitFor([&] { return crowd.attendedSince(term + 1) == agents; });
+  row.allAnsweredMs = row.electedMs + waitFor([&] { return crowd.agentsWithLeaseSince(term + 1) == agents; });
   return row;
 }
 
--- a/test/AgentCrowd.cpp
+++ b/test/SimulatedAgents.cpp
@@ -1,7 +1,7 @@
 // This file is part of courseloom, a scheduler for multi-accelerator jobs under workspace guarantees.
 // SPDX-License-Identifier: MPL-2.0
 
-#include "test/AgentCrowd.h"
+#include "test/SimulatedAgents.h"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-AgentCrowd::AgentCrowd(const schema::ClusterSettings& cluster, std::size_t agents) {
+SimulatedAgents::SimulatedAgents(const schema::ClusterSettings& cluster, std::size_t agents) {
   for (std::size_t i = 0; i < agents; ++i) {
     Agent& agent = *m_agents.emplace_back(std::make_unique<Agent>());
     agent.control = std::make_unique<ControlClient>(m_io, cluster);
@@ -44,22 +44,22 @@
   m_thread = std::thread([this] { m_io.run(); });
 }
 
-AgentCrowd::~AgentCrowd() {
+SimulatedAgents::~SimulatedAgents() {
   m_io.stop();
   m_thread.join();
 }
 
-std::set<std::uint64_t> AgentCrowd::terms() const {
+std::set<std::uint64_t> SimulatedAgents::terms() const {
   const std::lock_guard lock(m_mutex);
   return m_terms;
 }
 
-void AgentCrowd::clearTerms() {
+void SimulatedAgents::clearTerms() {
   const std::lock_guard lock(m_mutex);
   m_terms.clear();
 }
 
-std::size_t AgentCrowd::attendedSince(std::uint64_t term) const {
+std::size_t SimulatedAgents::agentsWithLeaseSince(std::uint64_t term) const {
   const std::lock_guard lock(m_mutex);
   std::size_t agents = 0;
   for (auto granted = m_agentsByLeaseTerm.lower_bound(term); granted != m_agentsByLeaseTerm.end(); ++granted)
@@ -67,18 +67,18 @@
   return agents;
 }
 
-std::vector<double> AgentCrowd::consumeDelays() {
+std::vector<double> SimulatedAgents::consumeDelays() {
   const std::lock_guard lock(m_mutex);
   return std::move(m_delays);
 }
 
-void AgentCrowd::recordReply(std::uint64_t term, double delayMs) {
+void SimulatedAgents::recordReply(std::uint64_t term, double delayMs) {
   const std::lock_guard lock(m_mutex);
   m_terms.insert(term);
   m_delays.push_back(delayMs);
 }
 
-Awaitable<void> AgentCrowd::attend(Agent& agent) {
+Awaitable<void> SimulatedAgents::attend(Agent& agent) {
   while (true) {
     endRuns(agent);
     const Time sent = BootClock::now();
@@ -97,7 +97,7 @@
   }
 }
 
-schema::AttendRequest AgentCrowd::report(Agent& agent) const {
+schema::AttendRequest SimulatedAgents::report(Agent& agent) const {
   schema::AttendRequest request;
   request.set_agent(agent.name);
   request.set_incarnation(1);
@@ -124,7 +124,7 @@
   return request;
 }
 
-void AgentCrowd::endRuns(Agent& agent) {
+void SimulatedAgents::endRuns(Agent& agent) {
   const Time now = BootClock::now();
   std::vector<RunKey> due;
   for (const auto& [key, run] : agent.running) {
@@ -133,13 +133,13 @@
   for (const RunKey& key : due) end(agent, key, schema::RunDone);
 }
 
-void AgentCrowd::end(Agent& agent, const RunKey& key, schema::RunEndKind kind) {
+void SimulatedAgents::end(Agent& agent, const RunKey& key, schema::RunEndKind kind) {
   if (agent.running.erase(key) == 0) return;
   --m_running;
   agent.unacknowledgedEnds[++agent.lastEnd] = {key, kind};
 }
 
-void AgentCrowd::applyReply(Agent& agent, const schema::AttendReply& reply) {
+void SimulatedAgents::applyReply(Agent& agent, const schema::AttendReply& reply) {
   agent.term = reply.term();
   agent.waitMs = reply.wait_ms();
   if (reply.members_size() > 0) agent.directory = reply.directory();
--- a/test/AgentCrowd.h
+++ b/test/SimulatedAgents.h
@@ -18,16 +18,16 @@
 
 namespace courseloom::test {
 
-/** \class AgentCrowd
+/** \class SimulatedAgents
  * \brief Many simulated agents, each with its own connection to the leader and a simulated target. The payload of an
  * order is the run time of the task, ms.
  *
  * The agents run on a thread of this object. The public functions may be called from another thread.
  */
-class AgentCrowd {
+class SimulatedAgents {
  public:
-  AgentCrowd(const schema::ClusterSettings& cluster, std::size_t agents);
-  ~AgentCrowd();
+  SimulatedAgents(const schema::ClusterSettings& cluster, std::size_t agents);
+  ~SimulatedAgents();
 
   /** \returns the terms of the leaders that have answered since the last call of clearTerms(). */
   std::set<std::uint64_t> terms() const;
@@ -44,7 +44,7 @@
   /** \returns total size of all answered reports and their answers so far, as serialized messages, bytes. */
   std::size_t bytes() const { return m_bytes; }
   /** \returns number of agents that have got a lease from a leader of this term or a later one. */
-  std::size_t attendedSince(std::uint64_t term) const;
+  std::size_t agentsWithLeaseSince(std::uint64_t term) const;
 
  private:
   struct Run {
--- a/test/leader_costs.cpp
+++ b/test/leader_costs.cpp
@@ -4,7 +4,7 @@
 // The work of a leader for agents that report no changes. The tests count plans, reports and bytes and measure no
 // times.
 
-#include "test/AgentCrowd.h"
+#include "test/SimulatedAgents.h"
 #include "test/WorkflowDeployment.h"
 
 using namespace courseloom;
@@ -21,14 +21,14 @@
  */
 struct LeaderWithAgents {
   WorkflowDeployment deployment{0};
-  std::unique_ptr<AgentCrowd> simulatedAgents;
+  std::unique_ptr<SimulatedAgents> simulatedAgents;
   unsigned leader = 0;
 
   explicit LeaderWithAgents(std::size_t agents) {
     deployment.setUp();
-    simulatedAgents = std::make_unique<AgentCrowd>(deployment.cluster(), agents);
-    for (int wait = 0; wait < 1000 && simulatedAgents->attendedSince(1) < agents; ++wait) pause(10);
-    cr_assert_eq(simulatedAgents->attendedSince(1), agents);
+    simulatedAgents = std::make_unique<SimulatedAgents>(deployment.cluster(), agents);
+    for (int wait = 0; wait < 1000 && simulatedAgents->agentsWithLeaseSince(1) < agents; ++wait) pause(10);
+    cr_assert_eq(simulatedAgents->agentsWithLeaseSince(1), agents);
     leader = deployment.leader();
     cr_assert_neq(leader, 0);
   }
--- a/test/leader_load.cpp
+++ b/test/leader_load.cpp
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <csignal>
 
-#include "test/AgentCrowd.h"
+#include "test/SimulatedAgents.h"
 #include "test/WorkflowDeployment.h"
 
 using namespace courseloom;
@@ -63,7 +63,7 @@
   WorkflowDeployment test(0);
   cr_assert_eq(test.configure(configuration(1)), 200);
   cr_assert(test.until(200, "GET", "/q/", "", "pending"));
-  AgentCrowd simulatedAgents(test.cluster(), Agents);
+  SimulatedAgents simulatedAgents(test.cluster(), Agents);
   int refused = 0;
   for (int i = 0; i < Workflows; ++i) {
     const std::string body = i % 4 == 0 ? job(78, "6000") : gangJob(i % 4 == 1 ? 25 : 8, 4, 3000);
