--- a/Courseloom/src/Agent/RunAgentLives.cpp
+++ b/Courseloom/src/Agent/RunAgentLives.cpp
@@ -160,8 +160,8 @@
   return {starts > 1 ? schema::CrashAmongStarts : schema::CrashAtStart, after};
 }
 
-/** Records the loss of a run to report it. A target that stays silent may have crashed for good; then the run counts as
- * the cause only if the silence began with its start. */
+/** Records the loss of a run to report it. A target that answers no more calls may have crashed for good; then the run
+ * counts as the cause only if the first unanswered call followed its start within CrashAtStartLimit. */
 void RunAgentService::recordLost(const RunKey& key, schema::RunEndKind kind) {
   if (kind != schema::RunTargetLost && kind != schema::RunLapsed) return;
   const auto run = m_runs.find(key);
--- a/Courseloom/src/Agent/RunAgentService.cpp
+++ b/Courseloom/src/Agent/RunAgentService.cpp
@@ -27,8 +27,9 @@
 constexpr Duration LapseSlack = milliseconds(200);
 /** Pause after a call that failed. */
 constexpr Duration FailedPause = milliseconds(150);
-/** Pause before a refused stop is retried. It is short because a refusal arrives at once and a run in doubt delays its
- * whole gang. It doubles with each refusal up to the maximum, since the target may be overloaded. */
+/** Pause before a refused stop is retried. It is short because a refusal arrives at once and a run with an
+ * undetermined outcome delays its whole gang. It doubles with each refusal up to the maximum, since the target may be
+ * overloaded. */
 constexpr Duration RefusedPause = milliseconds(50);
 constexpr Duration MaxRefusedPause = milliseconds(400);
 /** Longest wait before the next poll while the target lists uncommitted ends; such polls are answered at once. */
--- a/Courseloom/src/Agent/RunAgentService.h
+++ b/Courseloom/src/Agent/RunAgentService.h
@@ -191,7 +191,7 @@
   FillerPacer m_pacer;
   std::map<RunKey, RunOutcome> m_outcomes;          ///< for runs that the current incarnation must not begin any more
   std::map<RunKey, schema::StartReport> m_started;  ///< confirmed starts not reported yet
-  std::map<RunKey, schema::LostRun> m_lost;  ///< runs lost when an incarnation ended or fell silent; not reported yet
+  std::map<RunKey, schema::LostRun> m_lost;         ///< runs lost with an incarnation or lapsed; not reported yet
   std::uint64_t m_term = 0;
   Fence m_fence;
   Time m_leaseUntil{};
--- a/Courseloom/src/Control/TicketCache.h
+++ b/Courseloom/src/Control/TicketCache.h
@@ -36,8 +36,8 @@
 };
 
 /** \class TicketCache
- * \brief The leader's tickets for steps, and the pending requests for them. Until a step's tickets expire, each target
- * is requested once.
+ * \brief The leader's tickets for steps, and the pending requests for them. Until a step's tickets expire, no
+ * further ticket is requested for a target once a request for it has been answered.
  */
 class TicketCache {
  public:
@@ -56,7 +56,7 @@
   }
   /** \returns whether steps of a queue need a ticket for their starts. \param queue may be null: then none is needed */
   bool needed(const schema::Queue* queue) const { return m_port && queue != nullptr && queue->has_advice(); }
-  /** Returns the valid tickets of a step, and requests tickets for targets that were not requested yet, unless a
+  /** Returns the valid tickets of a step, and requests tickets for targets without an answered request, unless a
    * request for the step is pending. \param targets identities of targets that could run the step \returns tickets by
    * target */
   std::map<std::string, std::string> ticketsFor(const StepName& name, const schema::AdvicePolicy& policy,
--- a/Courseloom/src/Control/WorkflowRunner.h
+++ b/Courseloom/src/Control/WorkflowRunner.h
@@ -71,7 +71,7 @@
   std::vector<schema::HallDrainStatus> hallDrainStatus() const;
   /** \returns the status of each known target, with its estimated time factor. */
   std::vector<schema::TargetStatus> targetStatus() const;
-  /** Ends all delayed replies to agents with a failure, so that the agents look for another leader. */
+  /** Ends all delayed replies to agents with a failure, so that the agents try other replicas. */
   void releaseWaiters();
   /** Sets the function that returns the control replicas; replies to agents list them. */
   void setMembersSource(std::function<std::vector<ReplicaId>()> source) { m_membersSource = std::move(source); }
--- a/Courseloom/src/Replication/Replica.h
+++ b/Courseloom/src/Replication/Replica.h
@@ -53,8 +53,8 @@
   /** Adds a replica that asks to join as a peer; the leader then determines the state of its log. No effect on a
    * replica that is not the leader, or if the peer is known. */
   void addPeer(ReplicaId id, Time now);
-  /** \returns time of the last contact with the leader: `now` on the leader itself. Before the first contact it
-   * is the start time of this replica, or zero without ReplicaMechanisms::waitAfterStart. */
+  /** \returns time of the last contact with the leader: `now` on the leader itself. Before the first contact it is
+   * the start time of this replica, or zero without ReplicaMechanisms::waitAfterStart. */
   Time lastLeaderContact(Time now) const { return isLeader() ? now : m_lastLeaderContact; }
   /** Replaces the snapshot and removes the entries that it covers. Ignored if the snapshot is not newer than the
    * present one or covers uncommitted entries. */
--- a/Courseloom/src/Scheduling/GuaranteeBook.h
+++ b/Courseloom/src/Scheduling/GuaranteeBook.h
@@ -47,7 +47,7 @@
   /** Finds the witnesses again. \param capacity live capacity without what charged gangs hold \param free capacity that
    * nobody holds; it is preferred, so that fewer gangs are reclaimed \returns whether every guarantee has a witness */
   bool rebuild(const WorkerCapacities& capacity, const WorkerCapacities& free);
-  /** \returns whether a capacity has room for witnesses of all guarantees. Changes nothing. */
+  /** \returns whether a capacity suffices for witnesses of all guarantees. Changes nothing. */
   bool canWitnessAll(const WorkerCapacities& capacity) const;
   Guarantee* find(const std::string& name);
   std::vector<Guarantee>& guarantees() { return m_guarantees; }
--- a/Courseloom/src/Scheduling/RunLedger.h
+++ b/Courseloom/src/Scheduling/RunLedger.h
@@ -66,7 +66,7 @@
   Time startedAt{};                ///< when the start was applied here, or when this leader began to lead
   std::string checkpoint;          ///< newest checkpoint that was reported
   std::uint32_t percent = 0;       ///< newest reported progress
-  std::uint32_t noProgressMs = 0;  ///< time without progress at the last sight, by the agent's clock
+  std::uint32_t noProgressMs = 0;  ///< time without progress when last reported, by the agent's clock
   Time percentChanged{};           ///< when the run was first seen at this percentage; startedAt until it has changed
   std::uint32_t firstPercent = 0;  ///< progress when the run was first seen
   Time firstSeen{};                ///< when the run was first seen at its target; zero if never
@@ -121,7 +121,7 @@
  * holds as active. A run ends only when its target listed the end, when the target's incarnation is over, when its
  * agent ensured that the run never started, or when every lease that could have kept the run alive has certainly
  * expired.
- * \sa WorkflowTable, RunAgent
+ * \sa WorkflowTable, RunAgentService
  */
 class RunLedger {
  public:
--- a/Courseloom/src/Scheduling/RunPlan.h
+++ b/Courseloom/src/Scheduling/RunPlan.h
@@ -42,7 +42,7 @@
   bool awaited = true;       ///< if it is not open: whether it is expected to open soon
   bool single = false;       ///< limited to one run at a time, until a run shows that it works
   double penalty = 0.0;      ///< added to its placement cost, so that failing targets are chosen last
-  TargetSlowdown slowdown;   ///< its slowdown
+  TargetSlowdown slowdown;
 };
 
 /** \class PlannedRun
--- a/Courseloom/src/Scheduling/TargetHealth.h
+++ b/Courseloom/src/Scheduling/TargetHealth.h
@@ -23,11 +23,11 @@
   Duration firstSuspicion = milliseconds(4000);  ///< length of the first suspicion; doubles with each further one
   Duration longestSuspicion = milliseconds(32000);
   /** Time after a suspicion during which the target gets one run at a time. It is limited because a gang that needs
-   * room for more than one run on the target would otherwise wait forever if no other work arrives. It is longer than
-   * most tasks run, so that a trial run can end within it. */
+   * capacity for more than one run on the target would otherwise wait forever if no other work arrives. It is longer
+   * than most tasks run, so that a trial run can end within it. */
   Duration longestProbation = milliseconds(15000);
   Duration failureCaution = milliseconds(3000);  ///< other targets are preferred for this long after a failure
-  /** Time after a failure or a stall for which the target is doubted, unless a run is done there in between. */
+  /** Time after a failure or a stall for which doubted() returns the target, unless a run is done there in between. */
   Duration doubtTime = milliseconds(15000);
   double suspectPenalty = 500.0;  ///< placement cost of a suspect target, where suspicion does not close it to new runs
   double cautionPenalty = 50.0;   ///< placement cost of a target for failureCaution after a failure
--- a/test/LoadReplay.cpp
+++ b/test/LoadReplay.cpp
@@ -25,7 +25,7 @@
 constexpr double MinObservedShare = 0.1;     ///< least observed share of a task for an extrapolation of its run time
 constexpr double UpdateEstimatesMs = 250.0;  ///< time between two updates of the estimates
 constexpr double CrashAtStartMs = 500.0;     ///< a crash within this time after a start counts as crash at the start
-constexpr double SurvivedStartMs = 2250.0;   ///< age at which a run is known to live: the start phase and one poll
+constexpr double SurvivedStartMs = 2250.0;   ///< age at which a run has survived its start: start phase and one poll
 constexpr double CrashDowntimeMs = 3000.0;   ///< time from a crash by a task to the target's return
 constexpr ResourceAmounts Capacity = {128000, 524288, 8};
 
@@ -351,8 +351,8 @@
   m_endedRunsEstimator.closeWorkflow(job.workflow.record.id());
 }
 
-/** Ends a run before it is done. \param lost whether it is lost with its target, so that it saves no
- * checkpoint at its end */
+/** Ends a run before it is done. \param lost whether it is lost with its target, so that it saves no checkpoint at
+ * its end */
 void LoadReplay::stopRun(Run& run, bool lost) {
   Job& job = m_jobs[run.job];
   --job.active[run.task];
--- a/test/LoadReplay.h
+++ b/test/LoadReplay.h
@@ -77,7 +77,7 @@
   Never,
   TwoLost,    ///< after two targets were lost while it ran, at any time after its start
   ThreeLost,  ///< the same with three targets
-  TwoAlone,   ///< after two targets crashed right after its start, with no other recent start there, or as Current
+  TwoAlone,   ///< after two targets crashed right after its start, with no other recent start there, or under Current
   Current,    ///< the rule of CrashRecord
 };
 
--- a/test/leader_load.cpp
+++ b/test/leader_load.cpp
@@ -23,7 +23,7 @@
  */
 class ProcessorShare {
  public:
-  /** \param runMs time to run in each period, ms \param stopMs time to stand still in each period, ms */
+  /** \param runMs time to run in each period, ms \param stopMs time to be stopped in each period, ms */
   ProcessorShare(const Process& process, std::int64_t runMs, std::int64_t stopMs)
       : m_thread([this, &process, runMs, stopMs] {
           while (!m_done) {
--- a/test/run_agent_target_restart.cpp
+++ b/test/run_agent_target_restart.cpp
@@ -141,7 +141,7 @@
  */
 class RestartFixture {
  public:
-  /** \param statesBirth whether the target states the start time of its incarnation */
+  /** \param statesStartTime whether the target states the start time of its incarnation */
   explicit RestartFixture(bool statesStartTime = true) : m_server(io) {
     m_server.handle<schema::AttendRequest>(
         "attend", [this](schema::AttendRequest request, std::string) { return leader.attend(std::move(request)); });
--- a/test/run_ledger.cpp
+++ b/test/run_ledger.cpp
@@ -209,8 +209,8 @@
   cr_assert_not(test.ledger.open("agent", test.now));
 }
 
-// If a member of a gang is ordered to an agent that has just been disconnected, the gang stands still for a whole
-// lease.
+// If a member of a gang is ordered to an agent that has just been disconnected, the gang makes no progress for a
+// whole lease.
 Test(run_ledger, an_agent_that_does_not_answer_a_request_for_a_report_gets_no_new_runs) {
   LedgerFixture test;
   test.attend(test.report());
@@ -611,8 +611,8 @@
   cr_assert(test.ledger.receiveReport(late, test.now).empty(), "the run continues under the restarted agent");
 }
 
-// A new leader does not know former incarnations of agents, so a late report of one looks like that of a restarted
-// agent.
+// A new leader does not know former incarnations of agents, so it cannot distinguish a late report of one from that
+// of a restarted agent.
 Test(run_ledger, a_late_report_of_a_former_agent_does_not_displace_the_present_one) {
   LedgerFixture test;
   test.ledger.lead(test.table, test.now, 2);
@@ -736,7 +736,7 @@
 /** In a fleet of 100 targets and one more, a run that has been there for a while is lost with its target, together with
  * other targets.
  * \param others number of other targets lost at the same time \param sameWorkflow whether each of them runs another
- * task of the workflow \returns number of suspected tasks */
+ * task of the workflow \returns number of suspect tasks */
 unsigned suspectsAfterLoss(unsigned others, bool sameWorkflow) {
   constexpr unsigned Fleet = 100;
   LedgerFixture test(1 + others);
--- a/test/soak/RunHistory.h
+++ b/test/soak/RunHistory.h
@@ -14,8 +14,8 @@
 
 namespace courseloom::test {
 
-/** Kinds of events that a back end writes about its runs. Acknowledged: the agent has acknowledged the end of
- * a run; Lapsed: the hold ran out; IncarnationOver: the back end has crashed, which ends all its runs. */
+/** Kinds of events that a back end writes about its runs. Acknowledged: the agent has acknowledged the end of a
+ * run; Lapsed: the hold ran out; IncarnationOver: the back end has crashed, which ends all its runs. */
 enum class RunEventKind { Started, Ended, Acknowledged, Lapsed, IncarnationOver };
 
 /** \class RunEvent
