--- a/Courseloom/src/Agent/ProgressWatch.h
+++ b/Courseloom/src/Agent/ProgressWatch.h
@@ -14,7 +14,7 @@
  * \brief Measures for how long each run on a target has made no progress.
  *
  * The agent measures this because it sees each run at every poll, while the leader sees it only with each report. The
- * class uses no clock.
+ * caller passes the current time; the class does not read a clock.
  */
 class ProgressWatch {
  public:
@@ -25,8 +25,10 @@
  private:
   struct Progress {
     std::uint32_t percent = 0;  ///< progress of the run
-    Time since{};               ///< when the run was first seen at this percent, plus gaps that do not count
-    bool reported = false;      ///< the leader was notified of the lack of progress
+    /** When the run was first seen at this percentage, moved later by the part of each gap between polls that exceeds
+     * MaxPollGap, 1 s. */
+    Time since{};
+    bool reported = false;  ///< the leader was notified of the lack of progress
   };
   std::map<RunKey, Progress> m_progress;  ///< of the runs in the newest poll
   Time m_polledAt{};                      ///< time of the newest poll; zero before the first
--- a/Courseloom/src/Control/Recovery.cpp
+++ b/Courseloom/src/Control/Recovery.cpp
@@ -21,8 +21,9 @@
   return false;
 }
 
-/** Describes which accepted commands this disk could lack. None if a quorum is made of all voters, this disk among
- * them: every commit since the newest members entry then needed this disk. */
+/** Describes which committed commands this disk could lack. None if the newest members entry is known to be committed,
+ * this disk is a voter and a quorum needs every voter (at most two voters): each commit since that entry then needed
+ * this disk. */
 std::string describe_missing_commands(const ReplicaLog& log, const schema::HardState& hard, const std::string& diskId) {
   const std::size_t voters = voterCount(log.members());
   const bool everyVoterNeeded = voters / 2 + 1 == voters;
--- a/Courseloom/src/Control/TicketCache.h
+++ b/Courseloom/src/Control/TicketCache.h
@@ -36,15 +36,16 @@
 };
 
 /** \class TicketCache
- * \brief The leader's tickets for steps, and the pending requests for them. Until a step's tickets expire, each target
- * is requested once.
+ * \brief The leader's tickets for steps, and the pending requests for them. Until a step's tickets expire, no target is
+ * included in a further request once the advice service has answered for it.
  */
 class TicketCache {
  public:
   using StepName = std::pair<std::string, StepKey>;  ///< workflow and step
 
   /** \param port advice service; if null, no step needs a ticket \param onAnswer called on the strand after each answer
-   * or failure of the advice service */
+   * of the advice service, and after each failure and the pause that follows it, unless the step was discarded in the
+   * meantime */
   TicketCache(ControlStrand strand, std::unique_ptr<AdvicePort> port, std::function<void()> onAnswer)
       : m_strand(std::move(strand)), m_port(std::move(port)), m_onAnswer(std::move(onAnswer)) {}
 
@@ -56,7 +57,7 @@
   }
   /** \returns whether steps of a queue need a ticket for their starts. \param queue may be null: then none is needed */
   bool needed(const schema::Queue* queue) const { return m_port && queue != nullptr && queue->has_advice(); }
-  /** Returns the valid tickets of a step, and requests tickets for targets that were not requested yet, unless a
+  /** Returns the valid tickets of a step, and requests tickets for targets without an answer so far, unless a
    * request for the step is pending. \param targets identities of targets that could run the step \returns tickets by
    * target */
   std::map<std::string, std::string> ticketsFor(const StepName& name, const schema::AdvicePolicy& policy,
@@ -65,8 +66,9 @@
  private:
   struct StepTickets {
     std::map<std::string, std::string> tickets;
-    Time until{};                     ///< when the tickets expire; zero before the first answer
-    std::set<std::string> requested;  ///< targets of answered requests
+    /** When all tickets expire, set by the first successful request since the last expiry; zero before any. */
+    Time until{};
+    std::set<std::string> requested;  ///< targets of successful requests since the last expiry
     std::uint64_t requestId = 0;      ///< the pending request, or 0
   };
   Awaitable<void> requestTickets(StepName name, std::vector<std::string> targets, Duration validity,
--- a/Courseloom/src/Control/WorkflowAgents.cpp
+++ b/Courseloom/src/Control/WorkflowAgents.cpp
@@ -15,11 +15,12 @@
 namespace internal {
 namespace {
 
-/** Most relays that a reply lists. One is enough, but some may lose their connection together with the node itself. */
+/** Maximum number of relays in a reply. One would be enough, but a failure that cuts off the asking node may cut off
+ * some relays too. */
 constexpr std::size_t MaxRelaysPerReply = 4;
 
 /** \returns a hash of the replicas and relays that a reply lists; never 0. */
-std::uint64_t directory_of(const schema::AttendReply& reply) {
+std::uint64_t directory_digest(const schema::AttendReply& reply) {
   const std::uint64_t members = XXH64(reply.members().data(), sizeof(std::uint32_t) * reply.members_size(), 0);
   return XXH64(reply.relays().data(), sizeof(std::uint32_t) * reply.relays_size(), members) | 1U;
 }
@@ -29,6 +30,7 @@
   const RunKey key = runKeyOf(end.task(), end.run());
   for (const schema::EndReport& row : report.ends()) {
     if (runKeyOf(row.task(), row.run()) != key) continue;
+    // Ends that the target lists are numbered. Number 0 is an end that the agent determined itself, with a reason.
     return row.number() == 0 ? row.reason() : "listed by the target";
   }
   return "the agent reports another life of the target";
@@ -37,12 +39,12 @@
 }  // namespace
 }  // namespace internal
 
-std::vector<std::uint32_t> WorkflowRunner::relaysFor(const std::string& asker) {
-  return m_relays.relaysFor(asker, internal::MaxRelaysPerReply);
+std::vector<std::uint32_t> WorkflowRunner::relaysFor(const std::string& node) {
+  return m_relays.relaysFor(node, internal::MaxRelaysPerReply);
 }
 
-/** \returns a reply without orders or lease: term, report interval, replicas and relays. Replicas and relays are left
- * out if the request's hash of them is current. */
+/** \returns a reply without orders or lease: term, how long the next reply may be delayed, replicas and relays.
+ * Replicas and relays are left out if the request's hash of them is current. */
 schema::AttendReply WorkflowRunner::makeReply(const schema::AttendRequest& request) {
   schema::AttendReply reply;
   reply.set_term(m_driver.replica().term());
@@ -51,15 +53,15 @@
     for (const ReplicaId id : m_membersSource()) reply.add_members(id);
   }
   for (const std::uint32_t id : relaysFor(request.agent())) reply.add_relays(id);
-  reply.set_directory(internal::directory_of(reply));
+  reply.set_directory(internal::directory_digest(reply));
   if (reply.directory() != request.directory()) return reply;
   reply.clear_members();
   reply.clear_relays();
   return reply;
 }
 
-/** \returns a reply that asks the agent for a full report. The agent sends it at once, so nothing of the incomplete
- * report is lost. */
+/** \returns a reply that asks for a report with the target's description, which this report omits and this leader does
+ * not have. This report is not applied; the agent sends its content again at once, so nothing is lost. */
 schema::AttendReply WorkflowRunner::requestFullReport(const schema::AttendRequest& request) {
   m_context.metrics.count("reports_incomplete", "all");
   schema::AttendReply reply = makeReply(request);
@@ -99,7 +101,7 @@
 Awaitable<Result<schema::AttendReply>> WorkflowRunner::attend(schema::AttendRequest request) {
   const Time received = BootClock::now();
   if (!leads(received)) co_return fail(m_driver.noLeader("attend"));
-  if (m_ledger.isOvertaken(request)) {
+  if (m_ledger.isSuperseded(request)) {
     logEvent(schema::ReportRefused, {{"agent", request.agent()}, {"sequence", request.sequence()}});
     co_return fail(Failure{FailureCode::Fenced, Ran::No, "attend", request.agent(), "a newer report has come", 0});
   }
@@ -116,14 +118,15 @@
   // Ends trigger a plan when they are applied; the progress of runs is used at the next tick.
   if (wasAsked || m_ledger.offer(request.agent(), received) != offered) requestPlan();
   const Time end = received + milliseconds(request.wait_ms());
-  // Not delayed for an agent that is new to this leader: after an outage little is left of a former leader's lease.
-  const bool hasUpdates = !wasKnown || request.ends_size() > 0 || request.started_size() > 0;
-  while (leads() && !hasUpdates && !m_released && BootClock::now() < end) {
-    if (m_ledger.reportRequested(request.agent()) || m_ledger.isOvertaken(request)) break;
+  // An agent that is new to this leader gets its reply at once: after an outage, the lease that a former leader granted
+  // it may be about to expire.
+  const bool replyAtOnce = !wasKnown || request.ends_size() > 0 || request.started_size() > 0;
+  while (leads() && !replyAtOnce && !m_released && BootClock::now() < end) {
+    if (m_ledger.reportRequested(request.agent()) || m_ledger.isSuperseded(request)) break;
     if (m_ledger.hasDueOrders(request.agent(), table(), BootClock::now())) break;
     co_await m_agentSignals[request.agent()].wait(end);
   }
-  // State from before a change of leader is discarded, so this report must not be answered in a later term.
+  // A change of leader discards what this report changed in the ledger, so it must not be answered in a later term.
   // The check and the lease use the same instant: a process that is paused in between must not extend the lease beyond
   // its own leadership.
   const Time now = BootClock::now();
@@ -136,7 +139,7 @@
     reply.set_ends_taken(std::max<std::uint64_t>(reply.ends_taken(), row.number()));
   }
   // The connection of a superseded report may be broken, so its answer must not carry orders.
-  if (!m_ledger.isOvertaken(request)) {
+  if (!m_ledger.isSuperseded(request)) {
     for (schema::RunOrder& order : m_ledger.issueOrders(request.agent(), table(), now)) {
       *reply.add_orders() = std::move(order);
     }
--- a/Courseloom/src/Control/WorkflowPlanning.cpp
+++ b/Courseloom/src/Control/WorkflowPlanning.cpp
@@ -83,7 +83,7 @@
     removeOutdated(plan, steps, [&](std::size_t target) { return acceptsStarts(targets[target]); });
   }
   stopPlanned(plan, steps);
-  co_return recordStarts(startsInReach(plan, steps, targets), steps, targets);
+  co_return recordStarts(startsOnRespondingAgents(plan, steps, targets), steps, targets);
 }
 
 /** \returns whether a target of the plan still has the same incarnation and may get new runs. */
@@ -132,8 +132,9 @@
 /** \returns the starts whose agents have reported recently. A start for an agent that was just disconnected would delay
  * its gang for a whole lease. Agents without a recent report are therefore asked to report first, and the plan is made
  * again when the report arrives. */
-std::vector<RunPlan::Start> WorkflowRunner::startsInReach(const RunPlan& plan, const std::vector<PlannedStep>& steps,
-                                                          const std::vector<PlannedTarget>& targets) {
+std::vector<RunPlan::Start> WorkflowRunner::startsOnRespondingAgents(const RunPlan& plan,
+                                                                     const std::vector<PlannedStep>& steps,
+                                                                     const std::vector<PlannedTarget>& targets) {
   if (!m_context.settings.policy().ask_first()) return plan.starts;
   const Time now = BootClock::now();
   std::set<std::size_t> withheld;
@@ -202,10 +203,10 @@
   if (now == m_planTargetsVersion) return;
   m_planTargetsVersion = now;
   m_planTargets.clear();
-  m_planIncarnations.clear();
+  m_targetIncarnations.clear();
   for (const auto& [agent, track] : m_ledger.targets()) {
     const schema::TargetReport& report = track.report;
-    m_planIncarnations.push_back(report.id());
+    m_targetIncarnations.push_back(report.id());
     if (isDrained(track)) continue;  // excluded from planning
     PlannedTarget& target = m_planTargets.emplace_back();
     target.id = report.id();
@@ -221,7 +222,7 @@
 const std::vector<PlannedTarget>& WorkflowRunner::planTargets() {
   updateTargetDescriptions();
   const Time now = BootClock::now();
-  const bool trusted = !m_health.tooManySuspect(m_planIncarnations, now);
+  const bool trusted = !m_health.tooManySuspect(m_targetIncarnations, now);
   auto planned = m_planTargets.begin();
   for (const auto& [agent, track] : m_ledger.targets()) {
     if (isDrained(track)) continue;
@@ -346,8 +347,8 @@
       step.waitedMs = toMilliseconds(now - m_readySince.try_emplace(name, now).first->second);
       // Waiting time under former leaders counts too; the log has it only for steps without predecessors.
       if (spec.after().empty()) step.waitedMs = std::max(step.waitedMs, static_cast<double>(nowMs - due));
-      if (m_advice.needed(queue))
-        step.tickets = m_advice.ticketsFor(name, queue->advice(), openTargets(record.service()));
+      if (m_tickets.needed(queue))
+        step.tickets = m_tickets.ticketsFor(name, queue->advice(), openTargets(record.service()));
       addStepParts(std::move(step), steps);
     }
   }
--- a/Courseloom/src/Control/WorkflowRunTimes.cpp
+++ b/Courseloom/src/Control/WorkflowRunTimes.cpp
@@ -14,12 +14,14 @@
 namespace internal {
 namespace {
 
-/** Shortest interval between two updates from active runs. Runs are observed every 250 ms, so more frequent updates
- * would find nothing new. */
-constexpr Duration LearnInterval = milliseconds(250);
-/** The same interval as a multiple of an update's duration. It limits updates to a hundredth of the leader's time. */
-constexpr int PausePerLearning = 100;
-/** Upper bound of a recorded run time, ms; the value of a stalled run could exceed its 32-bit field. */
+/** Shortest interval between the starts of two updates from active runs. Runs are observed every 250 ms, so more
+ * frequent updates would find nothing new. */
+constexpr Duration MinUpdateInterval = milliseconds(250);
+/** Shortest interval between the starts of two updates, as a multiple of the last update's duration, so that updates
+ * take at most a hundredth of the leader's time. */
+constexpr int MinUpdateIntervalFactor = 100;
+/** Upper bound of a recorded run time, ms; the extrapolated run time of a stalled run may not fit in RunEnd.whole_ms, a
+ * uint32. */
 constexpr double MaxFullRunTimeMs = 1e9;
 constexpr double WholePercent = 100.0;
 
@@ -58,7 +60,8 @@
   });
 }
 
-/** Stores the run time of the run's whole task in its end, so that each replica reads it from the log. */
+/** Stores the run time of the whole task in the run's RunEnd record, so that every replica applies the same value from
+ * the log. */
 void WorkflowRunner::recordFullRunTime(schema::RunEnd& end, Time now) const {
   const RunKey key = runKeyOf(end.task(), end.run());
   const auto run = m_ledger.runs().find(key);
@@ -66,14 +69,16 @@
   const RunTrack& track = run->second;
   const schema::StepSpec& step = table().find(key.workflow)->step(key.task.step);
   std::optional<double> whole = fullRunTimeMs(key, track);
-  // A short task may end before it was observed twice, so its measured run time is used. A gang's run time would only
-  // reflect its slowest member.
+  // A short task may end before its progress was observed twice. If it ran from the beginning, the time since this
+  // leader applied the start, or began to lead, is used instead. Not for gangs: it would only reflect the slowest
+  // member. Not for steps with a preferred rack: fullRunTimeMs() also returns nothing for runs outside that rack.
   const bool usesMeasured = end.kind() == schema::RunDone && !step.gang() && step.preferred_rack().empty();
   if (!whole && usesMeasured && startedFromBeginning(key)) whole = toMilliseconds(now - track.startedAt);
   if (whole) end.set_whole_ms(static_cast<std::uint32_t>(std::clamp(*whole, 1.0, internal::MaxFullRunTimeMs)));
 }
 
-/** Updates the run time estimates from the log and from the progress of active runs, at most once per LearnInterval. */
+/** Updates the run time estimates from the log and from the progress of active runs, at most once per
+ * MinUpdateInterval. */
 void WorkflowRunner::updateEstimator() {
   const Time now = BootClock::now();
   if (!learnsRunTimes() || now < m_nextEstimatorUpdate) return;
@@ -81,13 +86,16 @@
   for (const auto& [key, track] : m_ledger.runs()) {
     const WorkflowState* workflow = table().find(key.workflow);
     const std::optional<double> whole = workflow == nullptr ? std::nullopt : fullRunTimeMs(key, track);
-    if (whole) m_runTimeEstimator.ran(observedStep(*workflow, key.task.stepKey()), track.target, *whole, wallClockMs());
+    if (whole)
+      m_runTimeEstimator.recordRunTime(observedStep(*workflow, key.task.stepKey()), track.target, *whole,
+                                       wallClockMs());
   }
-  m_runTimeEstimator.closeAll();
+  // The estimator is a copy of the replicated one, so the runs of open steps can be included.
+  m_runTimeEstimator.includeOpenSteps();
   logSpeedChanges();
   const Duration took = BootClock::now() - now;
   m_context.metrics.record("learn_ms", "all", "all", toMilliseconds(took));
-  m_nextEstimatorUpdate = now + std::max(internal::LearnInterval, internal::PausePerLearning * took);
+  m_nextEstimatorUpdate = now + std::max(internal::MinUpdateInterval, internal::MinUpdateIntervalFactor * took);
 }
 
 /** Logs targets whose estimated speed class has changed, and updates the gauge of slow targets. */
@@ -96,14 +104,15 @@
   double slow = 0.0;
   for (const auto& [agent, track] : m_ledger.targets()) {
     const std::string& target = track.report.id();
-    const TargetSlowdown pace = m_runTimeEstimator.slowdownOf(target);
-    const TargetSpeed speed = speeds[target] = speedOf(pace);
+    const TargetSlowdown slowdown = m_runTimeEstimator.slowdownOf(target);
+    const TargetSpeed speed = speeds[target] = speedOf(slowdown);
     slow += speed == TargetSpeed::Slow ? 1.0 : 0.0;
     const auto before = m_speeds.find(target);
     const bool changed = speed != (before == m_speeds.end() ? TargetSpeed::Usual : before->second);
     if (!changed) continue;
-    const auto factor = static_cast<std::uint64_t>(std::lround(internal::WholePercent * std::exp(pace.slowness)));
-    const auto error = static_cast<std::uint64_t>(std::lround(internal::WholePercent * pace.error));
+    // Both in hundredths. The error is that of the factor's logarithm.
+    const auto factor = static_cast<std::uint64_t>(std::lround(internal::WholePercent * std::exp(slowdown.slowness)));
+    const auto error = static_cast<std::uint64_t>(std::lround(internal::WholePercent * slowdown.error));
     logEvent(schema::TargetPaceChanged,
              {{"target", target}, {"pace", internal::name_of(speed)}, {"timeFactor", factor}, {"error", error}});
   }
@@ -112,21 +121,22 @@
 }
 
 std::vector<schema::TargetStatus> WorkflowRunner::targetStatus() const {
-  std::map<std::string, std::uint32_t> runs;
-  for (const auto& [key, track] : m_ledger.runs()) ++runs[track.agent];
+  std::map<std::string, std::uint32_t> runsByAgent;
+  for (const auto& [key, track] : m_ledger.runs()) ++runsByAgent[track.agent];
   std::vector<schema::TargetStatus> statuses;
   for (const auto& [agent, track] : m_ledger.targets()) {
     schema::TargetStatus& status = statuses.emplace_back();
-    const TargetSlowdown pace = m_runTimeEstimator.slowdownOf(track.report.id());
+    const TargetSlowdown slowdown = m_runTimeEstimator.slowdownOf(track.report.id());
     status.set_id(track.report.id());
     status.set_agent(agent);
     status.set_service(track.report.service());
     status.set_data_hall(track.report.data_hall());
     status.set_rack(track.report.rack());
     status.set_open(m_ledger.open(agent, BootClock::now()) && !isDrained(track));
-    status.set_runs(runs[agent]);
-    status.set_time_factor(std::exp(pace.slowness));
-    status.set_uncertainty(std::exp(pace.error));
+    status.set_runs(runsByAgent[agent]);
+    // The status has factors, so the standard error, which is logarithmic too, is converted.
+    status.set_time_factor(std::exp(slowdown.slowness));
+    status.set_uncertainty(std::exp(slowdown.error));
   }
   return statuses;
 }
@@ -147,9 +157,9 @@
  * \param usualMs expected run time of its whole task on a usual target, ms */
 double WorkflowRunner::remainingMs(const RunTrack& track, double usualMs) const {
   const double leftMs = usualMs * timeFactor(track.target) * (1.0 - track.percent / internal::WholePercent);
-  const std::optional<double> byPace =
+  const std::optional<double> fromProgress =
       learnsRunTimes() ? remainingFromProgressMs(track, BootClock::now()) : std::nullopt;
-  return byPace ? *byPace : std::max(0.0, leftMs);
+  return fromProgress ? *fromProgress : std::max(0.0, leftMs);
 }
 
 }  // namespace courseloom
--- a/Courseloom/src/Control/WorkflowRunner.cpp
+++ b/Courseloom/src/Control/WorkflowRunner.cpp
@@ -68,7 +68,7 @@
     : m_context(context),
       m_strand(std::move(strand)),
       m_driver(driver),
-      m_advice(m_strand, std::move(advice), [this] { requestPlan(); }),
+      m_tickets(m_strand, std::move(advice), [this] { requestPlan(); }),
       m_ledger(internal::ledger_options(context.settings)),
       m_planner(internal::planner_options(context.settings)) {}
 
@@ -83,7 +83,7 @@
   m_queuesVersion = 0;
   m_queues.clear();
   m_relays.clear();
-  m_advice.clear();
+  m_tickets.clear();
   m_readySince.clear();
   m_health.clear();
   if (leads) m_ledger.lead(table(), BootClock::now(), m_driver.replica().term());
@@ -127,7 +127,7 @@
     if (workflow == nullptr) continue;
     recordWorkflowEnd(*workflow);
     m_health.forget(id);
-    m_advice.forget(id);
+    m_tickets.forget(id);
     std::erase_if(m_readySince, [&id](const auto& entry) { return entry.first.first == id; });
     for (const auto& [key, task] : workflow->tasks) {
       for (const schema::ActiveRun& run : task.active) notifyAgent(run.agent());
--- a/Courseloom/src/Control/WorkflowRunner.h
+++ b/Courseloom/src/Control/WorkflowRunner.h
@@ -59,12 +59,13 @@
   /** Processes the changes that were committed and applied since the last call. */
   void onApplied();
 
-  /** Handles an agent's report. The reply, with orders and the lease, is delayed by up to `wait_ms` of the request
-   * while there is nothing to send. \returns NoLeader where this replica does not lead, Fenced for a superseded one */
+  /** Handles an agent's report. The reply, with orders and the lease, is delayed until there is something to send, at
+   * most by the request's `wait_ms`. \returns NoLeader if this replica does not lead, Fenced if a newer report of the
+   * agent has already arrived */
   Awaitable<Result<schema::AttendReply>> attend(schema::AttendRequest request);
   /** \returns numbers of nodes that can relay calls for a node that cannot reach control.
-   * \param asker name of the node */
-  std::vector<std::uint32_t> relaysFor(const std::string& asker);
+   * \param node name of the node that needs the relays */
+  std::vector<std::uint32_t> relaysFor(const std::string& node);
   /** \returns the data halls of all known targets. */
   std::set<std::string> dataHalls() const;
   /** \returns each drained data hall with the numbers of targets and runs that are still in it. */
@@ -97,8 +98,8 @@
   schema::RecordRuns recordStarts(const std::vector<RunPlan::Start>& starts, const std::vector<PlannedStep>& steps,
                                   const std::vector<PlannedTarget>& targets) const;
   bool acceptsStarts(const PlannedTarget& target) const;
-  std::vector<RunPlan::Start> startsInReach(const RunPlan& plan, const std::vector<PlannedStep>& steps,
-                                            const std::vector<PlannedTarget>& targets);
+  std::vector<RunPlan::Start> startsOnRespondingAgents(const RunPlan& plan, const std::vector<PlannedStep>& steps,
+                                                       const std::vector<PlannedTarget>& targets);
   void reviewRuns();
   void applyHallDrains();
   bool isDrained(const TargetTrack& target) const;
@@ -149,7 +150,7 @@
   DaemonContext m_context;
   ControlStrand m_strand;
   ReplicaDriver& m_driver;
-  TicketCache m_advice;
+  TicketCache m_tickets;
   RunLedger m_ledger;
   RelayDirectory m_relays;  ///< updated at each tick
   RunPlanner m_planner;
@@ -161,9 +162,9 @@
   std::map<std::string, ChangeSignal> m_agentSignals;
   std::map<StepName, Time> m_readySince;  ///< when this leader first found the step ready
   std::function<std::vector<ReplicaId>()> m_membersSource;
-  std::set<std::string> m_drainedHalls;         ///< as of the last applied change
-  std::vector<PlannedTarget> m_planTargets;     ///< in the ledger's order, without targets in drained halls
-  std::vector<std::string> m_planIncarnations;  ///< identities of all targets
+  std::set<std::string> m_drainedHalls;           ///< as of the last applied change
+  std::vector<PlannedTarget> m_planTargets;       ///< in the ledger's order, without targets in drained halls
+  std::vector<std::string> m_targetIncarnations;  ///< incarnations of all targets, including those in drained halls
   /** Versions of the descriptions and of the drains that m_planTargets was made from. */
   std::pair<std::uint64_t, std::uint64_t> m_planTargetsVersion;
   std::set<std::string> m_guaranteed;   ///< workflows within their tenants' guarantees, in this plan
@@ -179,7 +180,8 @@
   Duration m_planDuration{};    ///< duration of the last plan
   bool m_guaranteesFit = true;  ///< as last logged
   bool m_leads = false;
-  bool m_changesInherited = false;  ///< changes applied now were committed or proposed by a former leader
+  bool m_changesInherited = false;  ///< true until this leader may have proposed runs itself: run changes applied until
+                                    ///< then come from former leaders
   bool m_dirty = false;             ///< a new plan is requested
   bool m_released = false;          ///< releaseWaiters() was called
 };
--- a/Courseloom/src/Core/LogGroupSampler.cpp
+++ b/Courseloom/src/Core/LogGroupSampler.cpp
@@ -20,12 +20,12 @@
 }  // namespace internal
 
 void LogGroupSampler::beginSecond(std::int64_t second) {
-  const bool lowUsage = m_written * internal::LowUsageDivisor < m_lines;
+  const bool lowUsage = m_written * internal::LowUsageDivisor < m_budget;
   const std::int64_t secondsOfLowUsage = second - m_second - (lowUsage ? 0 : 1);
   m_halvings -= static_cast<unsigned>(std::clamp<std::int64_t>(secondsOfLowUsage, 0, m_halvings));
   m_second = second;
   m_written = 0;
-  m_halveAt = m_lines;
+  m_halveAt = m_budget;
 }
 
 bool LogGroupSampler::admit(std::uint64_t group, std::int64_t second, std::uint64_t& omitted) {
@@ -35,7 +35,7 @@
   }
   if (m_written >= m_halveAt && m_halvings < internal::MaxHalvings) {
     ++m_halvings;
-    m_halveAt += m_lines / 2;
+    m_halveAt += m_budget / 2;
   }
   if (!isSampled(group)) {
     ++m_omitted;
--- a/Courseloom/src/Scheduling/RunLedger.cpp
+++ b/Courseloom/src/Scheduling/RunLedger.cpp
@@ -119,7 +119,7 @@
 
 /** The incarnations of an agent that this leader has answered ran one after another, in the order of their first
  * contact: an earlier one was answered, and so recorded, before its successor began. */
-bool RunLedger::isOvertaken(const schema::AttendRequest& report) const {
+bool RunLedger::isSuperseded(const schema::AttendRequest& report) const {
   if (!m_options.rejectStaleReports || !isCurrent(report)) return false;
   const auto found = m_targets.find(report.agent());
   if (found == m_targets.end()) return false;
@@ -171,7 +171,7 @@
 
 std::vector<schema::RunEnd> RunLedger::receiveReport(const schema::AttendRequest& report, Time now) {
   recordContact(report);
-  if (!isCurrent(report) || isOvertaken(report)) return {};
+  if (!isCurrent(report) || isSuperseded(report)) return {};
   TargetTrack& target = track(report.agent());
   const std::set<RunKey>& keys = m_byAgent[report.agent()];
   const bool newAgent = target.incarnation != report.incarnation();
--- a/Courseloom/src/Scheduling/RunLedger.h
+++ b/Courseloom/src/Scheduling/RunLedger.h
@@ -137,7 +137,7 @@
    * cannot be older than this leadership. Any other report only gets an answer. */
   bool isCurrent(const schema::AttendRequest& report) const;
   /** \returns whether a newer report arrived before this one, on another connection or through another node. */
-  bool isOvertaken(const schema::AttendRequest& report) const;
+  bool isSuperseded(const schema::AttendRequest& report) const;
   /** Adds the target's description where the report omits it because the leader has it. \returns false if the leader
    * does not have that description; the report must not be applied then */
   bool complete(schema::AttendRequest& report) const;
--- a/Courseloom/src/Scheduling/TargetIndex.h
+++ b/Courseloom/src/Scheduling/TargetIndex.h
@@ -36,7 +36,7 @@
   const PlannedTarget& operator[](std::size_t target) const { return (*m_targets)[target]; }
   /** \returns the index of the target with an id, or nothing. */
   std::optional<std::size_t> find(std::string_view id) const;
-  /** \returns the indexes of the targets with some ids, ascending; unknown ids are ignored. */
+  /** \returns the indexes of the targets with the given ids, ascending; unknown ids are ignored. */
   std::vector<std::size_t> findAll(const std::set<std::string>& ids) const;
   /** \returns the index of a target's rack; racks are numbered in the order of their names. */
   std::size_t rackOf(std::size_t target) const { return m_rackOf[target]; }
@@ -46,13 +46,15 @@
   const std::vector<std::size_t>& inRack(std::size_t rack) const { return m_inRack[rack]; }
   /** \returns the index of the rack with a name; racks() if no target is in such a rack. */
   std::size_t rackNamed(const std::string& name) const;
-  /** \returns the targets of a service that have a label, open or not. \param label empty: no label is required */
+  /** \returns the targets of a service that have a label, including targets that accept no new runs. \param label
+   * empty: no label is required */
   TargetList targetsOf(const std::string& service, const std::string& label);
-  /** \returns by target how much more probable it is that a task ends late there than on a usual target, 0 to 1; null
-   * if this is about the same on all targets. Similar limits share one result, which is computed once per pass.
-   * \param limit slowdown at which the task ends just in time */
+  /** \returns the late chance of each target, by index: the probability that a task ends late on it minus that on a
+   * usual target, 0 to 1 as in LateChance; null if it is about equal on all targets. Similar limits share one result,
+   * which is computed once per pass.
+   * \param limit slowdown, on the logarithmic scale of TargetSlowdown, at which the task would end just in time */
   const std::vector<double>* lateChances(double limit);
-  /** \returns those of some targets whose late chance is at most one half.
+  /** \returns the targets in `among` whose late chance is at most 0.5.
    * \param lateChances a result of lateChances() of this object */
   TargetList fastEnough(const TargetList& among, const std::vector<double>& lateChances);
 
@@ -65,8 +67,8 @@
   std::map<std::pair<std::string, std::string>, TargetList> m_targetsOf;
   std::map<int, std::vector<double>>
       m_lateChances;  ///< by limit in units of LimitStep; empty if about equal on all targets
-  /** Results of fastEnough() by list and chances. The key owns its list, so that its address is not used again by
-   * another list. */
+  /** Results of fastEnough() by list and chances. The key shares ownership of the list: while the entry exists,
+   * no other list can have the same address. */
   std::map<std::pair<TargetList, const std::vector<double>*>, TargetList> m_fastEnough;
 };
 
--- a/Courseloom/src/State/RunTimeEstimator.cpp
+++ b/Courseloom/src/State/RunTimeEstimator.cpp
@@ -54,7 +54,8 @@
   return pace.slowness > 0.0 ? TargetSpeed::Slow : TargetSpeed::Fast;
 }
 
-void RunTimeEstimator::ran(const ObservedStep& step, const std::string& target, double fullRunMs, std::uint64_t nowMs) {
+void RunTimeEstimator::recordRunTime(const ObservedStep& step, const std::string& target, double fullRunMs,
+                                     std::uint64_t nowMs) {
   if (fullRunMs <= 0.0 || step.estimateMs <= 0.0) return;
   OpenStep& open = m_open[step.name];
   open.info = step;
@@ -71,7 +72,7 @@
   }
 }
 
-void RunTimeEstimator::closeAll() {
+void RunTimeEstimator::includeOpenSteps() {
   for (const auto& [name, step] : m_open) learn(step);
   m_open.clear();
 }
--- a/Courseloom/src/State/RunTimeEstimator.h
+++ b/Courseloom/src/State/RunTimeEstimator.h
@@ -59,12 +59,12 @@
   /** Records the run time of a task; a run time or an estimate of the step that is not above 0 is ignored.
    * \param fullRunMs time that the whole task takes on the target from its beginning to its end, ms
    * \param nowMs wall clock, ms since 1970 */
-  void ran(const ObservedStep& step, const std::string& target, double fullRunMs, std::uint64_t nowMs);
+  void recordRunTime(const ObservedStep& step, const std::string& target, double fullRunMs, std::uint64_t nowMs);
   /** Updates the estimates from the steps of a workflow that has ended, and removes these steps. */
   void closeWorkflow(const std::string& workflow);
   /** Updates the estimates from the runs so far of all open steps, and removes the steps. Meant for short-lived copies,
    * since later runs of these steps would count as new steps. */
-  void closeAll();
+  void includeOpenSteps();
   /** Removes the estimate of a target incarnation that has ended. */
   void forget(const std::string& target) { m_estimates.erase(target); }
 
--- a/Courseloom/src/State/WorkflowTable.cpp
+++ b/Courseloom/src/State/WorkflowTable.cpp
@@ -233,7 +233,8 @@
                                   const schema::RunEnd& end, std::uint64_t timeMs) {
   if (end.kind() == schema::RunTargetLost) return m_runTimeEstimator.forget(run.target());
   const StepKey step = keyOf(end.task()).stepKey();
-  m_runTimeEstimator.ran(observedStep(workflow, step), run.target(), static_cast<double>(end.whole_ms()), timeMs);
+  m_runTimeEstimator.recordRunTime(observedStep(workflow, step), run.target(), static_cast<double>(end.whole_ms()),
+                                   timeMs);
 }
 
 /** Marks a task as done. All members of a gang are done when one of them is. */
--- a/bench/planning.cpp
+++ b/bench/planning.cpp
@@ -59,11 +59,11 @@
     for (std::size_t t = 0; t < targets; ++t) {
       for (std::size_t r = 0; r < runsEach; ++r) {
         const ObservedStep step{"workflow-" + std::to_string((t + r) / 20) + ".0.0", "queue", 8000.0, r % 2 == 0};
-        runTimeEstimator.ran(step, "target-" + std::to_string(t) + "@1790000000000", 7000.0 + static_cast<double>(t),
-                             0);
+        runTimeEstimator.recordRunTime(step, "target-" + std::to_string(t) + "@1790000000000",
+                                       7000.0 + static_cast<double>(t), 0);
       }
     }
-    runTimeEstimator.closeAll();
+    runTimeEstimator.includeOpenSteps();
     times.push_back(toMilliseconds(BootClock::now() - before));
     previous = std::move(runTimeEstimator);
   }
--- a/test/LoadReplay.cpp
+++ b/test/LoadReplay.cpp
@@ -344,7 +344,8 @@
   m_result.worked += cores * run.heldMs / 1000.0;
   job.done[run.task] = true;
   if (run.share > run.shareAtStart)
-    m_endedRunsEstimator.ran(stepOf(run), targetName(run.target), run.workedMs / (run.share - run.shareAtStart), 0);
+    m_endedRunsEstimator.recordRunTime(stepOf(run), targetName(run.target),
+                                       run.workedMs / (run.share - run.shareAtStart), 0);
   const bool ended = std::all_of(job.done.begin(), job.done.end(), [](bool done) { return done; });
   if (!ended) return;
   job.endedMs = m_nowMs;
@@ -414,9 +415,9 @@
   for (const Run& run : m_runs) {
     const double observed = run.share - run.shareAtStart;
     if (m_speeds != SpeedsKnown::FromRuns || observed < MinObservedShare) continue;
-    m_runTimeEstimator.ran(stepOf(run), targetName(run.target), run.workedMs / observed, 0);
+    m_runTimeEstimator.recordRunTime(stepOf(run), targetName(run.target), run.workedMs / observed, 0);
   }
-  m_runTimeEstimator.closeAll();
+  m_runTimeEstimator.includeOpenSteps();
 }
 
 TargetSlowdown LoadReplay::slowdownOf(std::size_t target) const {
--- a/test/run_agent_outcomes.cpp
+++ b/test/run_agent_outcomes.cpp
@@ -132,7 +132,7 @@
   }
   Awaitable<Result<schema::AttendReply>> attend(schema::AttendRequest request) override {
     const Time now = BootClock::now();
-    if (m_ledger.isOvertaken(request)) co_return fail(Failure{FailureCode::Fenced, Ran::No, "test", "", "", 0});
+    if (m_ledger.isSuperseded(request)) co_return fail(Failure{FailureCode::Fenced, Ran::No, "test", "", "", 0});
     commitEnds(m_ledger.receiveReport(request, now));
     schema::AttendReply answer;
     answer.set_term(1);
--- a/test/run_agent_target_restart.cpp
+++ b/test/run_agent_target_restart.cpp
@@ -65,7 +65,7 @@
 
   Awaitable<Result<schema::AttendReply>> attend(schema::AttendRequest request) override {
     const Time now = BootClock::now();
-    if (m_ledger.isOvertaken(request)) co_return fail(Failure{FailureCode::Fenced, Ran::No, "test", "", "", 0});
+    if (m_ledger.isSuperseded(request)) co_return fail(Failure{FailureCode::Fenced, Ran::No, "test", "", "", 0});
     schema::AttendReply answer;
     answer.set_term(m_term);
     commit(m_ledger.receiveReport(request, now), {});
--- a/test/run_ledger.cpp
+++ b/test/run_ledger.cpp
@@ -266,16 +266,16 @@
   first.set_sequence(1);
   schema::AttendRequest second = test.report("life-2");
   second.set_sequence(2);
-  cr_assert_not(test.ledger.isOvertaken(first));
+  cr_assert_not(test.ledger.isSuperseded(first));
   test.attend(second);
-  cr_assert(test.ledger.isOvertaken(first), "the report would end every run of the new incarnation");
+  cr_assert(test.ledger.isSuperseded(first), "the report would end every run of the new incarnation");
   test.incarnation = 2;
   schema::AttendRequest restarted = test.report("life-2");
   restarted.set_sequence(1);
-  cr_assert_not(test.ledger.isOvertaken(restarted));
+  cr_assert_not(test.ledger.isSuperseded(restarted));
   test.attend(restarted);
   second.set_sequence(3);
-  cr_assert(test.ledger.isOvertaken(second), "the report is of a former incarnation of the agent");
+  cr_assert(test.ledger.isSuperseded(second), "the report is of a former incarnation of the agent");
 }
 
 // A new leader knows no incarnation of any agent yet, and the first report that it receives may have been delayed for
@@ -288,7 +288,7 @@
     schema::AttendRequest report = test.report();
     report.set_term(term);
     report.set_sequence(sequence);
-    if (test.ledger.isOvertaken(report)) return false;
+    if (test.ledger.isSuperseded(report)) return false;
     test.attend(report);
     return true;
   };
@@ -317,8 +317,8 @@
   test.attend(present);
   former.set_term(2);
   former.set_sequence(2);
-  cr_assert(test.ledger.isOvertaken(former));
-  cr_assert_not(test.ledger.isOvertaken(present));
+  cr_assert(test.ledger.isSuperseded(former));
+  cr_assert_not(test.ledger.isSuperseded(present));
 }
 
 // An agent that has terminated since may have counted a run as lapsed which its successor was ordered to start.
@@ -607,7 +607,7 @@
   cr_assert_eq(test.attend(next).size(), 1, "the restarted agent is ordered to start the run");
   test.advance(1000);
   test.ledger.lead(test.table, test.now, 2);
-  cr_assert_not(test.ledger.isOvertaken(late));
+  cr_assert_not(test.ledger.isSuperseded(late));
   cr_assert(test.ledger.receiveReport(late, test.now).empty(), "the run continues under the restarted agent");
 }
 
@@ -624,9 +624,9 @@
   present.set_term(2);
   present.set_sequence(5);
   test.attend(present);
-  if (!test.ledger.isOvertaken(late)) test.attend(late);
+  if (!test.ledger.isSuperseded(late)) test.attend(late);
   present.set_sequence(6);
-  cr_assert_not(test.ledger.isOvertaken(present), "every later report of the agent is refused in this term");
+  cr_assert_not(test.ledger.isSuperseded(present), "every later report of the agent is refused in this term");
 }
 
 namespace {
--- a/test/run_ledger_seeded.cpp
+++ b/test/run_ledger_seeded.cpp
@@ -462,7 +462,7 @@
     }
     if (m_duplicates() % 50 == 0)
       m_delayed.push_back({m_now + milliseconds(1 + static_cast<std::int64_t>(m_duplicates() % 4000)), request});
-    if (m_ledger->isOvertaken(request)) return;
+    if (m_ledger->isSuperseded(request)) return;
     const bool hasDescription = request.has_target();
     if (m_ledger->isCurrent(request) && !m_ledger->complete(request)) {
       m_violation = "the leader requests a description that it has acknowledged";
@@ -538,7 +538,7 @@
       }
       schema::AttendRequest request = m_delayed[i].second;
       m_delayed.erase(m_delayed.begin() + static_cast<std::ptrdiff_t>(i));
-      if (m_ledger->isOvertaken(request)) continue;
+      if (m_ledger->isSuperseded(request)) continue;
       if (m_ledger->isCurrent(request) && !m_ledger->complete(request))
         continue;  // the agent is asked for the description
       commit(m_ledger->receiveReport(request, m_now), {});
--- a/test/run_time_estimator.cpp
+++ b/test/run_time_estimator.cpp
@@ -31,7 +31,7 @@
     const double workMs = UsualMs * logNormal(0.5);
     const ObservedStep step{nextStep(), "urgent", workMs * logNormal(0.5), true};
     for (const std::size_t t : targets)
-      runTimeEstimator.ran(step, name(t), workMs * factors[t] * logNormal(0.02), ++m_nowMs);
+      runTimeEstimator.recordRunTime(step, name(t), workMs * factors[t] * logNormal(0.02), ++m_nowMs);
     runTimeEstimator.closeWorkflow(std::to_string(m_steps));
   }
   /** Runs single tasks of one step, of which one in thirty is a straggler. \param each number of tasks on each target
@@ -42,7 +42,8 @@
     for (const std::size_t t : targets) {
       for (std::size_t i = 0; i < each; ++i) {
         const double stragglerFactor = m_random() % 30 == 0 ? 7.0 : 1.0;
-        runTimeEstimator.ran(step, name(t), stragglerFactor * workMs * factors[t] * logNormal(0.15), ++m_nowMs);
+        runTimeEstimator.recordRunTime(step, name(t), stragglerFactor * workMs * factors[t] * logNormal(0.15),
+                                       ++m_nowMs);
       }
     }
     runTimeEstimator.closeWorkflow(std::to_string(m_steps));
@@ -107,7 +108,7 @@
   for (int round = 0; round < 5; ++round) simulated.runGang({0, 1, 2, 3});
   const ObservedStep step{"straggling.0.0", "bulk", 4000.0, false};
   for (const char* target : {"t0", "t1", "t2", "t3"}) {
-    simulated.runTimeEstimator.ran(step, target, std::string(target) == "t3" ? 28000.0 : 4000.0, 100);
+    simulated.runTimeEstimator.recordRunTime(step, target, std::string(target) == "t3" ? 28000.0 : 4000.0, 100);
   }
   simulated.runTimeEstimator.closeWorkflow("straggling");
   cr_assert(simulated.ratio(3, 0) < 1.35, "%.2f", simulated.ratio(3, 0));
@@ -137,7 +138,7 @@
   RunTimeEstimator runTimeEstimator;
   for (std::size_t t = 0; t < RunTimeEstimator::MaxTargets + 100; ++t) {
     const std::string workflow = "w" + std::to_string(t);
-    runTimeEstimator.ran({workflow + ".0.0", "q", 1000.0, false}, "t" + std::to_string(t), 1500.0, t);
+    runTimeEstimator.recordRunTime({workflow + ".0.0", "q", 1000.0, false}, "t" + std::to_string(t), 1500.0, t);
     runTimeEstimator.closeWorkflow(workflow);
   }
   cr_assert_eq(runTimeEstimator.targets(), RunTimeEstimator::MaxTargets);
@@ -149,8 +150,8 @@
 
 Test(run_time_estimator, closing_a_workflow_leaves_others_with_the_same_id_prefix_open) {
   RunTimeEstimator runTimeEstimator;
-  runTimeEstimator.ran({"w1.0.0", "q", 1000.0, false}, "t", 1500.0, 1);
-  runTimeEstimator.ran({"w10.0.0", "q", 1000.0, false}, "t", 1500.0, 1);
+  runTimeEstimator.recordRunTime({"w1.0.0", "q", 1000.0, false}, "t", 1500.0, 1);
+  runTimeEstimator.recordRunTime({"w10.0.0", "q", 1000.0, false}, "t", 1500.0, 1);
   runTimeEstimator.closeWorkflow("w1");
   cr_assert_eq(runTimeEstimator.openSteps(), 1);
 }
@@ -159,7 +160,7 @@
 // evict another target.
 Test(run_time_estimator, a_snapshot_during_a_step_does_not_change_later_states) {
   RunTimeEstimator before;
-  before.ran({"w.0.0", "q", 1000.0, true}, "t1", 1500.0, 7000);
+  before.recordRunTime({"w.0.0", "q", 1000.0, true}, "t1", 1500.0, 7000);
   schema::StateSnapshot snapshot;
   before.save(snapshot);
   RunTimeEstimator after;
@@ -181,15 +182,15 @@
   snapshot.add_queue_times()->set_queue("q");
   RunTimeEstimator runTimeEstimator;
   runTimeEstimator.load(snapshot);
-  runTimeEstimator.closeAll();
+  runTimeEstimator.includeOpenSteps();
   cr_assert_eq(runTimeEstimator.targets(), 0);
   cr_assert_eq(runTimeEstimator.expectedMs("q", 1000.0), 1000.0);
 }
 
 Test(run_time_estimator, zero_estimates_and_run_times_are_ignored) {
   RunTimeEstimator runTimeEstimator;
-  runTimeEstimator.ran({"s", "q", 0.0, false}, "t", 1500.0, 1);
-  runTimeEstimator.ran({"s", "q", 1000.0, false}, "t", 0.0, 1);
+  runTimeEstimator.recordRunTime({"s", "q", 0.0, false}, "t", 1500.0, 1);
+  runTimeEstimator.recordRunTime({"s", "q", 1000.0, false}, "t", 0.0, 1);
   cr_assert_eq(runTimeEstimator.openSteps(), 0);
 }
 
--- a/test/soak/SocketOwner.h
+++ b/test/soak/SocketOwner.h
@@ -9,12 +9,13 @@
 
 namespace courseloom::test {
 
-/** Queries the kernel for the socket at one end of an open TCP connection on this machine.
+/** Returns the inode of the socket at one end of an open TCP connection on this machine, by asking the kernel.
  *
- * A sock_diag query by both addresses and ports takes the same time however many closed connections the kernel keeps.
- * Reading /proc/net/tcp took 1.6 s with 131,000 of them (one reading, on a loaded machine); a proxy that reads it for
- * each caller cannot answer in time.
- * \param local the end that is queried \param remote its peer \returns inode of the socket, or 0 if there is none
+ * A sock_diag query by both addresses and ports takes the same time however many closed connections the kernel still
+ * lists. Reading /proc/net/tcp took 1.6 s with 131,000 of them (one measurement, on a loaded machine): too slow for
+ * FaultProxy, which looks up the process of each caller and then could not answer in time.
+ * \param local address of that end \param remote address of its peer \returns inode of the socket, or 0 if there is
+ * none
  */
 std::uint32_t inodeOfConnection(const boost::asio::ip::tcp::endpoint& local,
                                 const boost::asio::ip::tcp::endpoint& remote);
