--- a/bench/policies.cpp
+++ b/bench/policies.cpp
@@ -90,7 +90,7 @@
     if (workClass.attainable > 0.0) row.classes[i].add(workClass.earned / workClass.attainable);
   }
   row.late.add(result.classes[0].late + result.classes[0].unfinished);
-  row.wastedWork.add(result.thrownAway);
+  row.wastedWork.add(result.wastedWork);
   row.stops.add(result.stops);
 }
 
--- a/test/LoadReplay.cpp
+++ b/test/LoadReplay.cpp
@@ -361,7 +361,7 @@
       static_cast<double>(profileOf(job.kind).cores) + 8.0 * job.workflow.step(0).need().accelerators();
   const bool savesCheckpoint = job.writesCheckpoints && !lost;
   if (savesCheckpoint) job.savedShares[run.task] = std::max(job.savedShares[run.task], run.share);
-  if (!savesCheckpoint) m_result.thrownAway += cores * run.heldMs / 1000.0;
+  if (!savesCheckpoint) m_result.wastedWork += cores * run.heldMs / 1000.0;
   job.readyMs = m_nowMs;
 }
 
--- a/test/LoadReplay.h
+++ b/test/LoadReplay.h
@@ -119,7 +119,7 @@
     unsigned unfinished = 0;  ///< number of workflows that did not end, or ended so late that they were worthless
   };
   std::array<Class, ReplayClasses> classes;
-  double thrownAway = 0.0;      ///< work lost with runs that ended early and had no checkpoint, core-seconds
+  double wastedWork = 0.0;      ///< work lost with runs that ended early and had no checkpoint, core-seconds
   double worked = 0.0;          ///< work of runs that completed, core-seconds
   unsigned stops = 0;           ///< number of runs stopped by the planner
   unsigned crashes = 0;         ///< number of targets crashed by tasks
--- a/test/load_replay.cpp
+++ b/test/load_replay.cpp
@@ -36,7 +36,7 @@
   const ReplayResult first = LoadReplay(pattern, {}, 3).simulate();
   const ReplayResult second = LoadReplay(pattern, {}, 3).simulate();
   cr_assert(first.worth() == second.worth());
-  cr_assert(first.thrownAway == second.thrownAway);
+  cr_assert(first.wastedWork == second.wastedWork);
   cr_assert(first.stops == second.stops);
 }
 
